--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -13,7 +13,7 @@
 use support::{Scene, at, endpoint, ms, profile, work, work_id};
 
 fn request(number: u8) -> Fingerprint {
-    Fingerprint::of_digest(&[number; 32])
+    Fingerprint::from_digest(&[number; 32])
 }
 
 fn process(number: u64) -> EndedProcess {
@@ -152,7 +152,7 @@
     let numbered = |number: u64| {
         let mut digest = [0; 32];
         digest[..8].copy_from_slice(&number.to_be_bytes());
-        Fingerprint::of_digest(&digest)
+        Fingerprint::from_digest(&digest)
     };
     for number in 0..10 {
         struck(&mut quarantine, numbered(number), HELD_AT);
@@ -172,7 +172,7 @@
     for number in 0..5_000u64 {
         let mut digest = [1; 32];
         digest[..8].copy_from_slice(&number.to_be_bytes());
-        quarantine.strike(at(number), Fingerprint::of_digest(&digest), process(number), 0);
+        quarantine.strike(at(number), Fingerprint::from_digest(&digest), process(number), 0);
     }
     assert_eq!(quarantine.state(request(255)), SuspectState::Held);
 }
--- a/crates/ringbend-ledger/src/lease.rs
+++ b/crates/ringbend-ledger/src/lease.rs
@@ -11,7 +11,7 @@
 use ringbend_platform::{
     Condition, Row, RowKey, RowVersion, TableError, TableReply, TableRequest, Write,
 };
-use ringbend_types::{FencingNumber, Incarnation, InstanceId, LeaseName, Timestamp};
+use ringbend_types::{FencingToken, Incarnation, InstanceId, LeaseName, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Times of a lease.
@@ -47,7 +47,7 @@
     /// Which start of the holder.
     pub incarnation: Incarnation,
     /// Rises with each new holder.
-    pub fencing: FencingNumber,
+    pub fencing: FencingToken,
     /// Rises with each renewal.
     pub renewal: u64,
 }
@@ -85,7 +85,7 @@
     holder: InstanceId,
     incarnation: Incarnation,
     phase: Phase,
-    held: Option<(FencingNumber, Timestamp)>,
+    held: Option<(FencingToken, Timestamp)>,
     unproved: Option<(LeaseRow, Timestamp)>,
     watched: Option<(RowVersion, Timestamp)>,
     leaving: bool,
@@ -113,7 +113,7 @@
     }
 
     /// The fencing number, when the lease is sure to last `flight` longer.
-    pub fn fencing(&self, now: Timestamp, flight: Duration) -> Option<FencingNumber> {
+    pub fn fencing(&self, now: Timestamp, flight: Duration) -> Option<FencingToken> {
         let (fencing, valid_until) = self.held?;
         (now + flight < valid_until).then_some(fencing)
     }
@@ -179,7 +179,7 @@
 
     fn on_row(&mut self, now: Timestamp, row: Option<&Row>) -> Option<LeaseAction> {
         let Some(row) = row else {
-            let first = self.row(FencingNumber(1), 0);
+            let first = self.row(FencingToken(1), 0);
             return self.write(now, Condition::Absent(self.key.clone()), first);
         };
         let Ok(current) = serde_json::from_str::<LeaseRow>(&row.value) else { return None };
@@ -215,7 +215,7 @@
         }
     }
 
-    fn row(&self, fencing: FencingNumber, renewal: u64) -> LeaseRow {
+    fn row(&self, fencing: FencingToken, renewal: u64) -> LeaseRow {
         LeaseRow { holder: self.holder.clone(), incarnation: self.incarnation, fencing, renewal }
     }
 
--- a/crates/ringbend-ledger/tests/leases.rs
+++ b/crates/ringbend-ledger/tests/leases.rs
@@ -6,7 +6,7 @@
 use ringbend_ledger::{Lease, LeaseAction, LeaseConfig, LeaseEvent};
 use ringbend_models::{EngineModel, EngineSpec, TableFaults, TableModel, TableRates};
 use ringbend_platform::{Order, OrderKind};
-use ringbend_types::{FencingNumber, Incarnation, Timestamp};
+use ringbend_types::{FencingToken, Incarnation, Timestamp};
 
 /// An order's longest flight.
 const FLIGHT: Duration = Duration::from_secs(2);
@@ -39,7 +39,7 @@
     for n in 0..60 {
         drive(&mut one, &mut table, seconds(n));
         drive(&mut two, &mut table, seconds(n));
-        assert_eq!(one.fencing(seconds(n), FLIGHT), Some(FencingNumber(1)), "at {n} s");
+        assert_eq!(one.fencing(seconds(n), FLIGHT), Some(FencingToken(1)), "at {n} s");
         assert_eq!(two.fencing(seconds(n), FLIGHT), None);
     }
 }
@@ -57,7 +57,7 @@
     }
     // Watched from 1 s on, in looks of 3 s, for 10 s and 5 s.
     assert_eq!(taken, Some(16));
-    assert_eq!(two.fencing(seconds(18), FLIGHT), Some(FencingNumber(2)));
+    assert_eq!(two.fencing(seconds(18), FLIGHT), Some(FencingToken(2)));
     assert_eq!(one.fencing(seconds(16), FLIGHT), None);
 }
 
@@ -80,7 +80,7 @@
     drive(&mut one, &mut table, seconds(0));
     assert_eq!(one.fencing(seconds(0), FLIGHT), None);
     drive(&mut one, &mut table, seconds(3));
-    assert_eq!(one.fencing(seconds(3), FLIGHT), Some(FencingNumber(1)));
+    assert_eq!(one.fencing(seconds(3), FLIGHT), Some(FencingToken(1)));
 }
 
 #[test]
@@ -101,7 +101,7 @@
 #[test]
 fn a_late_order_is_refused_by_an_engine_that_checks() {
     let order = |n| Order {
-        fencing: FencingNumber(n),
+        fencing: FencingToken(n),
         kind: OrderKind::SetRole { role: "decode".parse().unwrap() },
     };
     let (mut table, mut one, mut two) = (table(), lease(1), lease(2));
@@ -141,7 +141,7 @@
 fn one_holder(schedule: Vec<(u8, u8, u8)>) -> TestResult {
     let mut table = table();
     let mut leases = [lease(1), lease(2), lease(3)];
-    let mut highest = FencingNumber(0);
+    let mut highest = FencingToken(0);
     let mut now = seconds(0);
     for (who, wait, fault) in schedule {
         now = now + Duration::from_millis(u64::from(wait) * 40);
@@ -153,7 +153,7 @@
         };
         drive(&mut leases[usize::from(who) % 3], &mut table, now);
         let held = leases.iter().filter_map(|l| l.fencing(now, Duration::ZERO));
-        let held: Vec<FencingNumber> = held.collect();
+        let held: Vec<FencingToken> = held.collect();
         if held.len() > 1 || held.first().is_some_and(|f| *f < highest) {
             return TestResult::failed();
         }
--- a/crates/ringbend-models/src/engine.rs
+++ b/crates/ringbend-models/src/engine.rs
@@ -11,7 +11,7 @@
 use ringbend_platform::{
     CacheEvent, EndpointState, LoadReport, Order, OrderKind, OrderRefusal, Reservation,
 };
-use ringbend_types::{AttemptId, FencingNumber, ModelName, Timestamp, TokenCount, TokensPerSecond};
+use ringbend_types::{AttemptId, FencingToken, ModelName, Timestamp, TokenCount, TokensPerSecond};
 
 use crate::prefix_cache::PrefixCache;
 
@@ -72,7 +72,7 @@
 
 impl Submit {
     fn kv_need(&self) -> TokenCount {
-        self.prompt_tokens.plus(TokenCount(self.max_tokens)).minus(self.borrowed)
+        self.prompt_tokens.saturating_add(TokenCount(self.max_tokens)).saturating_sub(self.borrowed)
     }
 }
 
@@ -142,7 +142,7 @@
     kv_used: TokenCount,
     peak_kv: TokenCount,
     state: EndpointState,
-    highest_fencing: FencingNumber,
+    highest_fencing: FencingToken,
     orders_done: Vec<Order>,
 }
 
@@ -168,7 +168,7 @@
             kv_used: TokenCount(0),
             peak_kv: TokenCount(0),
             state: EndpointState::Live,
-            highest_fencing: FencingNumber(0),
+            highest_fencing: FencingToken(0),
             orders_done: Vec::new(),
         }
     }
@@ -214,7 +214,7 @@
         let Some(place) = self.places.remove(&attempt) else { return false };
         self.waiting.remove(&place);
         if let Some(sequence) = self.batch.remove(&place) {
-            self.kv_used = self.kv_used.minus(sequence.submit.kv_need());
+            self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_need());
         }
         self.start_step(now);
         true
@@ -228,7 +228,7 @@
         if self.reservations.contains_key(&reservation.attempt) {
             return Err(SubmitError::Duplicate);
         }
-        let used = self.kv_used.plus(reservation.tokens);
+        let used = self.kv_used.saturating_add(reservation.tokens);
         if used > self.spec.kv_capacity {
             return Err(SubmitError::Full);
         }
@@ -240,7 +240,7 @@
     /// Frees the memory held for an attempt; returns whether there was any.
     pub fn release(&mut self, now: Timestamp, attempt: AttemptId) -> bool {
         let Some(tokens) = self.reservations.remove(&attempt) else { return false };
-        self.kv_used = self.kv_used.minus(tokens);
+        self.kv_used = self.kv_used.saturating_sub(tokens);
         self.start_step(now);
         true
     }
@@ -363,7 +363,7 @@
     fn fill_batch(&mut self) {
         while self.batch.len() < self.spec.max_batch {
             let Some(first) = self.waiting.first_entry() else { return };
-            let used = self.kv_used.plus(first.get().submit.kv_need());
+            let used = self.kv_used.saturating_add(first.get().submit.kv_need());
             if used > self.spec.kv_capacity {
                 return;
             }
@@ -411,7 +411,7 @@
         for (place, attempt) in ended {
             self.places.remove(&attempt);
             if let Some(sequence) = self.batch.remove(&place) {
-                self.kv_used = self.kv_used.minus(sequence.submit.kv_need());
+                self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_need());
             }
         }
     }
--- a/crates/ringbend-models/tests/engine.rs
+++ b/crates/ringbend-models/tests/engine.rs
@@ -4,7 +4,7 @@
 
 use ringbend_models::{EngineModel, EngineSpec, Submit, SubmitError};
 use ringbend_platform::{Order, OrderKind, OrderRefusal, Reservation};
-use ringbend_types::{AttemptId, FencingNumber, Timestamp, TokenCount, TokensPerSecond};
+use ringbend_types::{AttemptId, FencingToken, Timestamp, TokenCount, TokensPerSecond};
 
 fn engine() -> EngineModel {
     EngineModel::new(EngineSpec {
@@ -116,12 +116,12 @@
 #[test]
 fn an_order_with_an_old_number_is_refused_only_where_it_is_checked() {
     let order = |n| Order {
-        fencing: FencingNumber(n),
+        fencing: FencingToken(n),
         kind: OrderKind::SetRole { role: "prefill".parse().unwrap() },
     };
     let mut checks = engine();
     checks.order(Timestamp(0), order(2)).unwrap();
-    let refusal = OrderRefusal { highest: FencingNumber(2) };
+    let refusal = OrderRefusal { highest: FencingToken(2) };
     assert_eq!(checks.order(Timestamp(0), order(1)), Err(refusal));
     let mut ignores =
         EngineModel::new(EngineSpec { checks_fencing: false, ..EngineSpec::default() });
--- a/crates/ringbend-platform/src/endpoint.rs
+++ b/crates/ringbend-platform/src/endpoint.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 use ringbend_types::{
-    AttemptId, DataCentre, EndpointId, FencingNumber, ModelName, ServiceName, TokenCount,
+    AttemptId, DataCentre, EndpointId, FencingToken, ModelName, ServiceName, TokenCount,
 };
 use serde::{Deserialize, Serialize};
 
@@ -158,7 +158,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The number of the lease under which the order is given.
-    pub fencing: FencingNumber,
+    pub fencing: FencingToken,
     /// What is asked.
     pub kind: OrderKind,
 }
@@ -167,5 +167,5 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRefusal {
     /// The highest number seen.
-    pub highest: FencingNumber,
+    pub highest: FencingToken,
 }
--- a/crates/ringbend-policy/src/dispatcher.rs
+++ b/crates/ringbend-policy/src/dispatcher.rs
@@ -12,7 +12,8 @@
 use ringbend_platform::EndpointEntry;
 use ringbend_settings::configs::RoutingConfig;
 use ringbend_types::{
-    AttemptId, EndpointId, IdMint, Incarnation, InstanceId, RequestId, RunState, Seed, Timestamp,
+    AttemptId, EndpointId, IdGenerator, Incarnation, InstanceId, RequestId, RunState, Seed,
+    Timestamp,
 };
 
 use crate::backoff::RetryBudget;
@@ -84,7 +85,7 @@
 /// Ringbend's policy.
 pub struct Dispatcher {
     cfg: DispatcherConfig,
-    mint: IdMint,
+    mint: IdGenerator,
     rng: ChaCha8Rng,
     endpoints: Endpoints,
     leaving: BTreeSet<EndpointId>,
@@ -104,7 +105,7 @@
     /// A policy that knows no endpoints yet.
     pub fn new(cfg: DispatcherConfig) -> Self {
         Self {
-            mint: IdMint::new(cfg.incarnation),
+            mint: IdGenerator::new(cfg.incarnation),
             rng: cfg.seed.rng(RANDOM_STREAM),
             peers: vec![cfg.instance.clone()],
             cfg,
@@ -124,7 +125,7 @@
 
     /// Mints the id of a request that is about to arrive.
     pub fn mint_request(&mut self) -> RequestId {
-        self.mint.request()
+        self.mint.next_request_id()
     }
 
     /// Admitted requests that have not ended.
--- a/crates/ringbend-policy/src/dispatcher/placing.rs
+++ b/crates/ringbend-policy/src/dispatcher/placing.rs
@@ -27,7 +27,7 @@
         let Some(chosen) = chosen else { return false };
         let endpoint = candidates[chosen].endpoint.clone();
         self.queue.serve(id);
-        let attempt = self.mint.attempt();
+        let attempt = self.mint.next_attempt_id();
         self.dispatch(now, id, attempt, endpoint, Vec::new(), out);
         true
     }
@@ -49,7 +49,7 @@
         let busy = self.collecting();
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(group) = self.endpoints.group(now, &request.profile, &busy) else { return false };
-        let attempt = self.mint.attempt();
+        let attempt = self.mint.next_attempt_id();
         let need = request.profile.cost();
         self.queue.serve(id);
         self.attempts.insert(attempt, id);
@@ -149,7 +149,7 @@
         let predicted = view.predict(now, prefill, long);
         let patience = Duration::from_millis(profile.settings.timeouts.first_token_ms);
         let borrowed = held.iter().map(|h| h.tokens.0).sum();
-        let kv = profile.cost().minus(ringbend_types::TokenCount(borrowed));
+        let kv = profile.cost().saturating_sub(ringbend_types::TokenCount(borrowed));
         view.sent(now, attempt, prefill, kv, long);
         if request.attempts == 0 {
             self.budget.first_attempt(now);
--- a/crates/ringbend-policy/src/endpoint_view.rs
+++ b/crates/ringbend-policy/src/endpoint_view.rs
@@ -139,10 +139,10 @@
         let capacity = self.entry.kv_capacity;
         let Some((report, at)) = &self.report else {
             let own = self.sent.values().map(|s| s.kv).sum();
-            return capacity.minus(TokenCount(own));
+            return capacity.saturating_sub(TokenCount(own));
         };
         let since: u64 = self.sent.values().filter(|s| s.at > *at).map(|s| s.kv).sum();
-        report.kv_capacity.minus(report.kv_used).minus(TokenCount(since))
+        report.kv_capacity.saturating_sub(report.kv_used).saturating_sub(TokenCount(since))
     }
 
     /// Prompt tokens sent from here that the report does not count yet.
--- a/crates/ringbend-policy/src/naive.rs
+++ b/crates/ringbend-policy/src/naive.rs
@@ -9,7 +9,7 @@
 use ringbend_platform::{EndpointEntry, LoadReport};
 use ringbend_settings::configs::{ChoiceKind, RoutingConfig};
 use ringbend_types::{
-    AttemptId, EndpointId, IdMint, Incarnation, RequestId, RunState, Seed, Timestamp,
+    AttemptId, EndpointId, IdGenerator, Incarnation, RequestId, RunState, Seed, Timestamp,
 };
 use smallvec::SmallVec;
 
@@ -36,7 +36,7 @@
 
 /// A plain router.
 pub struct NaivePolicy {
-    mint: IdMint,
+    mint: IdGenerator,
     rng: ChaCha8Rng,
     choice: Box<dyn EndpointChoice>,
     endpoints: Vec<EndpointEntry>,
@@ -50,7 +50,7 @@
     pub fn new(incarnation: Incarnation, choice: ChoiceKind, seed: Seed) -> Self {
         let routing = RoutingConfig { choice, ..RoutingConfig::default() };
         Self {
-            mint: IdMint::new(incarnation),
+            mint: IdGenerator::new(incarnation),
             rng: seed.rng(RANDOM_STREAM),
             choice: choice_for(&routing),
             endpoints: Vec::new(),
@@ -86,7 +86,7 @@
             return;
         };
         let endpoint = candidates[chosen].endpoint.clone();
-        let attempt = self.mint.attempt();
+        let attempt = self.mint.next_attempt_id();
         out.push(Action::Dispatch(Dispatch {
             request: id,
             attempt,
--- a/crates/ringbend-policy/src/profile.rs
+++ b/crates/ringbend-policy/src/profile.rs
@@ -36,7 +36,7 @@
 impl RequestProfile {
     /// What it costs of its account's limit, and how much memory it needs.
     pub fn cost(&self) -> TokenCount {
-        self.prompt_tokens.plus(TokenCount(self.max_tokens))
+        self.prompt_tokens.saturating_add(TokenCount(self.max_tokens))
     }
 
     /// Whether it counts as a long prompt.
--- a/crates/ringbend-relay/src/fingerprint.rs
+++ b/crates/ringbend-relay/src/fingerprint.rs
@@ -32,6 +32,6 @@
 
     /// The fingerprint, once the body has been read.
     pub(crate) fn finish(self) -> Fingerprint {
-        Fingerprint::of_digest(&self.0.finalize().into())
+        Fingerprint::from_digest(&self.0.finalize().into())
     }
 }
--- a/crates/ringbend-relay/src/limits.rs
+++ b/crates/ringbend-relay/src/limits.rs
@@ -120,5 +120,5 @@
 }
 
 fn is_seldom(rate: RequestRate) -> bool {
-    rate.in_time(SELDOM) < 1.0
+    rate.requests_in(SELDOM) < 1.0
 }
--- a/crates/ringbend-types/src/fingerprint.rs
+++ b/crates/ringbend-types/src/fingerprint.rs
@@ -25,7 +25,7 @@
 
 impl Fingerprint {
     /// The first bytes of a digest, which has as many at least.
-    pub fn of_digest(digest: &[u8; 32]) -> Self {
+    pub fn from_digest(digest: &[u8; 32]) -> Self {
         let mut bytes = [0; BYTES];
         bytes.copy_from_slice(&digest[..BYTES]);
         Self(bytes)
--- a/crates/ringbend-types/src/lib.rs
+++ b/crates/ringbend-types/src/lib.rs
@@ -19,11 +19,11 @@
     ModelName, ParseIdError, RequestId, RequestKey, ServiceName,
 };
 pub use quantity::{
-    ByteCount, EndpointStart, FencingNumber, Incarnation, ParseQuantityError, PromptBucket,
+    ByteCount, EndpointStart, FencingToken, Incarnation, ParseQuantityError, PromptBucket,
     SettingsVersion, TokenCount, TokensPerSecond,
 };
 pub use request_rate::RequestRate;
 pub use retry_after::RetryAfter;
 pub use run_state::{ParseRunStateError, RunState};
-pub use seed::{IdMint, Seed};
+pub use seed::{IdGenerator, Seed};
 pub use time::Timestamp;
--- a/crates/ringbend-types/src/quantity.rs
+++ b/crates/ringbend-types/src/quantity.rs
@@ -31,18 +31,18 @@
 
         impl $name {
             /// The sum, held at the largest value.
-            pub fn plus(self, other: Self) -> Self {
+            pub fn saturating_add(self, other: Self) -> Self {
                 Self(self.0.saturating_add(other.0))
             }
 
             /// The difference, held at zero.
-            pub fn minus(self, other: Self) -> Self {
+            pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
 
             /// The number after this one.
             pub fn next(self) -> Self {
-                self.plus(Self(1))
+                self.saturating_add(Self(1))
             }
         }
 
@@ -72,7 +72,7 @@
     /// The version of the settings tree; every accepted change raises it by one.
     SettingsVersion => "",
     /// Rises with each new holder of a lease; endpoints that check it refuse lower ones.
-    FencingNumber => "",
+    FencingToken => "",
     /// Rises with each start of an instance and each time it refutes a suspicion.
     Incarnation => "",
     /// When an endpoint's process started, as a Unix time in milliseconds by the endpoint's own clock.
@@ -91,7 +91,7 @@
     pub const RANDOM_BITS: u32 = 20;
 
     /// The incarnation of a start at `unix_ms`; `random` makes starts within one millisecond differ.
-    pub fn of_start(unix_ms: u64, random: u64) -> Self {
+    pub fn from_start(unix_ms: u64, random: u64) -> Self {
         Self((unix_ms << Self::RANDOM_BITS) | (random & ((1 << Self::RANDOM_BITS) - 1)))
     }
 
--- a/crates/ringbend-types/src/request_rate.rs
+++ b/crates/ringbend-types/src/request_rate.rs
@@ -24,7 +24,7 @@
     }
 
     /// The requests that it allows in this time.
-    pub fn in_time(self, time: Duration) -> f64 {
+    pub fn requests_in(self, time: Duration) -> f64 {
         self.as_f64() * time.as_secs_f64()
     }
 }
--- a/crates/ringbend-types/src/seed.rs
+++ b/crates/ringbend-types/src/seed.rs
@@ -20,30 +20,30 @@
 
 /// Mints request and attempt ids that are unique to one incarnation of one instance.
 #[derive(Debug, Clone)]
-pub struct IdMint {
+pub struct IdGenerator {
     incarnation: u64,
     sequence: u64,
 }
 
-impl IdMint {
+impl IdGenerator {
     /// A mint for `incarnation`, which must be unique over all instances and starts.
     pub fn new(incarnation: Incarnation) -> Self {
         Self { incarnation: incarnation.0, sequence: 0 }
     }
 
     /// The next request id.
-    pub fn request(&mut self) -> RequestId {
-        let sequence = self.step();
+    pub fn next_request_id(&mut self) -> RequestId {
+        let sequence = self.next_sequence();
         RequestId { incarnation: self.incarnation, sequence }
     }
 
     /// The next attempt id.
-    pub fn attempt(&mut self) -> AttemptId {
-        let sequence = self.step();
+    pub fn next_attempt_id(&mut self) -> AttemptId {
+        let sequence = self.next_sequence();
         AttemptId { incarnation: self.incarnation, sequence }
     }
 
-    fn step(&mut self) -> u64 {
+    fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
--- a/crates/ringbend-types/tests/ids.rs
+++ b/crates/ringbend-types/tests/ids.rs
@@ -32,9 +32,9 @@
 
 #[test]
 fn a_refutation_leaves_the_start_as_it_is() {
-    let start = Incarnation::of_start(1_796_000_000_000, 5);
+    let start = Incarnation::from_start(1_796_000_000_000, 5);
     assert_eq!(start.next().started_unix_ms(), 1_796_000_000_000);
-    assert!(Incarnation::of_start(1_796_000_000_001, 0) > start);
+    assert!(Incarnation::from_start(1_796_000_000_001, 0) > start);
 }
 
 #[test]
--- a/crates/ringbendd/src/instance.rs
+++ b/crates/ringbendd/src/instance.rs
@@ -168,7 +168,7 @@
 
 /// Unique over all instances and starts, and rising with time.
 fn new_incarnation() -> Incarnation {
-    Incarnation::of_start(unix_millis(), rand::rng().random())
+    Incarnation::from_start(unix_millis(), rand::rng().random())
 }
 
 fn start_tracing(
