--- a/crates/ringbend-playground/tests/security.rs
+++ b/crates/ringbend-playground/tests/security.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ringbend_playground::{ADMIN_KEY, CALLER_KEY, Fleet};
-use ringbend_wire::{Envelope, Hello, Message, PROTOCOL, envelope};
+use ringbend_wire::{Envelope, Hello, Message, PROTOCOL_VERSION, envelope};
 use rustls::client::danger::HandshakeSignatureValid;
 use rustls_pki_types::pem::PemObject;
 use serde_json::json;
@@ -228,7 +228,7 @@
     // With TLS 1.3 the client may think it is connected until the server has judged it.
     let Ok(connection) = connecting.await else { return false };
     let Ok((mut tx, mut rx)) = connection.open_bi().await else { return false };
-    let hello = Hello { protocol: PROTOCOL, ..Hello::default() };
+    let hello = Hello { protocol: PROTOCOL_VERSION, ..Hello::default() };
     let hello = Envelope { body: Some(envelope::Body::Hello(hello)) };
     if tx.write_all(&hello.encode_to_vec()).await.is_err() || tx.finish().is_err() {
         return false;
--- a/crates/ringbend-relay/src/asking.rs
+++ b/crates/ringbend-relay/src/asking.rs
@@ -7,7 +7,7 @@
 
 use ringbend_gateway::{Job, Peers, Placement, WorkId};
 use ringbend_types::Timestamp;
-use ringbend_wire::{Ask, Grant, LoadDigest, Verdict, ask_of, work_of};
+use ringbend_wire::{Ask, Grant, LoadDigest, Verdict, decode_placed_work, encode_ask};
 use smallvec::SmallVec;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -65,7 +65,7 @@
 
     fn send(&self, scheduler: SocketAddrV4, job: &Job) {
         let owner = Some(self.id.instance).filter(|owner| *owner != self.node.incarnation());
-        let ask = Ask { owner, ..ask_of(self.node.clock.now(), self.id, job) };
+        let ask = Ask { owner, ..encode_ask(self.node.clock.now(), self.id, job) };
         self.node.tell(&LoadDigest { asks: vec![ask], ..self.node.digest() }, scheduler);
     }
 
@@ -152,7 +152,7 @@
     /// Puts a granted placement on this instance's book; none if it cannot be read.
     fn take_grant(&self, id: WorkId, grant: &Grant, is_doubtful: bool) -> Option<Placement> {
         let now = self.clock.now();
-        let work = match grant.work.as_ref().map(|work| work_of(now, work)) {
+        let work = match grant.work.as_ref().map(|work| decode_placed_work(now, work)) {
             Some(Ok(work)) => work,
             Some(Err(e)) => {
                 log::warn!(target: "peers", error:% = e; "grant refused");
--- a/crates/ringbend-relay/src/copies.rs
+++ b/crates/ringbend-relay/src/copies.rs
@@ -7,7 +7,7 @@
 use ringbend_gateway::{
     Adopted, Endpoint, EndpointChange, MEMBER_READ_AGE_MS, Proof, READ_AGE_MS, Snapshot,
 };
-use ringbend_wire::{EndpointChanges, row_of};
+use ringbend_wire::{EndpointChanges, encode_endpoint_change};
 
 use crate::fetch;
 use crate::node::Node;
@@ -210,7 +210,7 @@
         }
         if node.readers.borrow().reads() && items.len() <= MAX_RELAYED {
             let from_cursor = node.endpoints_cursor.get().0;
-            let rows = items.iter().map(row_of).collect();
+            let rows = items.iter().map(encode_endpoint_change).collect();
             let changes = EndpointChanges { from_cursor, to_cursor: cursor.0, rows };
             *node.endpoint_changes.borrow_mut() = Some(changes);
         }
--- a/crates/ringbend-relay/src/fetch.rs
+++ b/crates/ringbend-relay/src/fetch.rs
@@ -23,7 +23,10 @@
 use ringbend_gateway::{ConfigVersion, Endpoint, EndpointChange, Holds};
 use ringbend_runtime::{Handler, HttpRequest, HttpResponse, empty};
 use ringbend_types::Timestamp;
-use ringbend_wire::{self as wire, EndpointChanges, Message, WireError, change_of, row_of};
+use ringbend_wire::{
+    self as wire, EndpointChanges, Message, WireError, decode_endpoint_change,
+    encode_endpoint_change,
+};
 
 use crate::copies::{ConfigCopy, EndpointCopy};
 use crate::exchange::{self, ExchangeError};
@@ -143,7 +146,8 @@
 
 fn endpoints_copy(node: &Node) -> Bytes {
     let directory = node.directory.borrow();
-    let rows = directory.registered().map(|e| row_of(&EndpointChange::Present(e.clone())));
+    let rows =
+        directory.registered().map(|e| encode_endpoint_change(&EndpointChange::Present(e.clone())));
     let to_cursor = node.endpoints_cursor.get().0;
     EndpointChanges { from_cursor: 0, to_cursor, rows: rows.collect() }.encode_to_vec().into()
 }
@@ -322,7 +326,7 @@
 async fn take_endpoints(node: &Node, peer: SocketAddrV4) -> Result<(), CopyError> {
     let raw = get(node, peer, ENDPOINTS_PATH).await?;
     let copy = EndpointChanges::decode(raw).map_err(|e| CopyError::Copy(e.into()))?;
-    let endpoint = |row| match change_of(row)? {
+    let endpoint = |row| match decode_endpoint_change(row)? {
         EndpointChange::Present(endpoint) => Ok(Some(endpoint)),
         EndpointChange::Gone(_) | EndpointChange::Unreadable(_) => Ok(None),
     };
--- a/crates/ringbend-relay/src/granting.rs
+++ b/crates/ringbend-relay/src/granting.rs
@@ -7,7 +7,7 @@
 
 use ringbend_gateway::{EngineProfile, Job, Placement, WorkId};
 use ringbend_types::Timestamp;
-use ringbend_wire::{Ask, Grant, LoadDigest, Verdict, job_of, placed_work};
+use ringbend_wire::{Ask, Grant, LoadDigest, Verdict, decode_ask, encode_placed_work};
 use tokio::task::JoinHandle;
 
 use crate::node::Node;
@@ -118,7 +118,7 @@
 
     fn begin(self: &Rc<Self>, from: SocketAddrV4, id: WorkId, ask: &Ask) -> Grant {
         let now = self.clock.now();
-        let job = match job_of(now, ask) {
+        let job = match decode_ask(now, ask) {
             Ok(job) => job,
             Err(e) => {
                 log::warn!(target: "peers", peer:% = from, error:% = e; "ask refused");
@@ -196,7 +196,8 @@
         };
         log::debug!(target: "peers", request = job.request.as_ref(); "granted");
         let load = self.load.borrow();
-        let work = load.work(id).map(|(work, _)| placed_work(self.clock.now(), id, work, false));
+        let work =
+            load.work(id).map(|(work, _)| encode_placed_work(self.clock.now(), id, work, false));
         let first = Duration::from_secs_f64(placement.first_ms.max(0.0) / 1e3);
         Grant {
             work,
--- a/crates/ringbend-relay/src/hearing.rs
+++ b/crates/ringbend-relay/src/hearing.rs
@@ -6,8 +6,8 @@
 use ringbend_gateway::{Heard, Part, Role, TrustEvent, WorkId};
 use ringbend_types::Timestamp;
 use ringbend_wire::{
-    EndpointResult, LoadDigest, Message, OpenWork, OwnersWork, restart_of, result_of, role_of,
-    waiting_of, work_of,
+    EndpointResult, LoadDigest, Message, OpenWork, OwnersWork, decode_endpoint_restart,
+    decode_endpoint_result, decode_placed_work, decode_role, decode_waiting_work,
 };
 
 use crate::link::MAX_DATAGRAM;
@@ -56,9 +56,9 @@
             let (own, peers) = (Timestamp(own), Timestamp(digest.clock_us));
             self.readers.borrow_mut().pair(start, own, peers);
         }
-        self.note_suspicions(digest, role_of(digest) == Role::Scheduler);
-        self.note_limits(digest, role_of(digest) == Role::Scheduler);
-        self.note_drains(digest, role_of(digest) == Role::Scheduler);
+        self.note_suspicions(digest, decode_role(digest) == Role::Scheduler);
+        self.note_limits(digest, decode_role(digest) == Role::Scheduler);
+        self.note_drains(digest, decode_role(digest) == Role::Scheduler);
         self.note_work(now, from, digest);
         for start in &digest.gone {
             self.load.borrow_mut().forget_instance(now, *start);
@@ -81,7 +81,7 @@
             self.peers.borrow_mut().describe(from, data_centre, digest.capacity);
         }
         let part = Part {
-            role: role_of(digest),
+            role: decode_role(digest),
             instances: digest.instances as usize,
             fleet: digest.fleet as usize,
         };
@@ -158,7 +158,7 @@
     }
 
     fn answer_hello(&self, from: SocketAddrV4, hello: &LoadDigest) {
-        let schedules = role_of(hello) == Role::Scheduler;
+        let schedules = decode_role(hello) == Role::Scheduler;
         let answer = LoadDigest {
             hello_clock_us: Some(hello.clock_us),
             peers: self.schedulers_besides(from, schedules),
@@ -202,7 +202,7 @@
 
     fn note_restarts(&self, digest: &LoadDigest) {
         for told in &digest.restarts {
-            match restart_of(told) {
+            match decode_endpoint_restart(told) {
                 Ok((endpoint, start)) => self.note_start(&endpoint, start),
                 Err(e) => log::warn!(target: "peers", error:% = e; "restart refused"),
             }
@@ -210,7 +210,7 @@
     }
 
     fn note_result(&self, now: Timestamp, result: &EndpointResult) {
-        match result_of(result) {
+        match decode_endpoint_result(result) {
             Ok((id, event)) => self.trust.borrow_mut().note(now, &id, event),
             Err(e) => log::warn!(target: "peers", error:% = e; "result refused"),
         }
@@ -219,7 +219,7 @@
     /// Notes work of the sender and of others that it schedules for. Work of an instance that does not
     /// schedule is told on.
     fn note_work(&self, now: Timestamp, from: SocketAddrV4, digest: &LoadDigest) {
-        let is_scheduler = role_of(digest) == Role::Scheduler;
+        let is_scheduler = decode_role(digest) == Role::Scheduler;
         let tells_on = self.schedules() && !is_scheduler;
         for owners in &digest.work {
             if is_scheduler {
@@ -259,7 +259,7 @@
         let mut load = self.load.borrow_mut();
         let mut outbox = self.outbox.borrow_mut();
         for waiting in &owners.waiting {
-            match waiting_of(now, waiting) {
+            match decode_waiting_work(now, waiting) {
                 Ok(told) => load.wait(id(waiting.sequence), told),
                 Err(e) => {
                     log::warn!(target: "peers", instance, error:% = e; "waiting work refused")
@@ -267,7 +267,7 @@
             }
         }
         for placed in &owners.placed {
-            match work_of(now, placed) {
+            match decode_placed_work(now, placed) {
                 Ok(work) => load.place_told(now, id(placed.sequence), work, placed.writing),
                 Err(e) => log::warn!(target: "peers", instance, error:% = e; "work refused"),
             }
--- a/crates/ringbend-relay/src/keeping.rs
+++ b/crates/ringbend-relay/src/keeping.rs
@@ -10,7 +10,9 @@
 use bytes::Bytes;
 use ringbend_gateway::Suspicion;
 use ringbend_types::{Fingerprint, Timestamp};
-use ringbend_wire::{Message, Suspicion as ToldSuspicion, WireError, suspicion_of, told_suspicion};
+use ringbend_wire::{
+    Message, Suspicion as ToldSuspicion, WireError, decode_suspicion, encode_suspicion,
+};
 
 use crate::node::Node;
 use crate::ports::{KeptRow, SourceError};
@@ -83,7 +85,7 @@
 }
 
 fn kept(value: &Bytes) -> Result<Suspicion, WireError> {
-    suspicion_of(&ToldSuspicion::decode(value.clone())?)
+    decode_suspicion(&ToldSuspicion::decode(value.clone())?)
 }
 
 impl Node {
@@ -111,7 +113,7 @@
             for _ in 0..MOST_WRITES {
                 let known = node.quarantine.borrow().of(of).filter(|s| s.is_grave()).cloned();
                 let Some(known) = known else { return };
-                let value = told_suspicion(&known).encode_to_vec().into();
+                let value = encode_suspicion(&known).encode_to_vec().into();
                 let row = KeptRow { key: of.to_string().into(), value };
                 match bounded(node.keeper.keep(&row)).await {
                     Ok(()) => return,
--- a/crates/ringbend-relay/src/limits.rs
+++ b/crates/ringbend-relay/src/limits.rs
@@ -5,7 +5,7 @@
 
 use ringbend_gateway::{Endpoint, HeardLimit, LimitWord, NamedLimit, WordIn};
 use ringbend_types::{EndpointId, RequestRate, Timestamp};
-use ringbend_wire::{EndpointLimit, LoadDigest, limit_of, told_limit};
+use ringbend_wire::{EndpointLimit, LoadDigest, decode_limit, encode_limit};
 
 use crate::node::Node;
 
@@ -62,12 +62,12 @@
         let limits = self.limits.borrow();
         let named = of.iter().filter_map(|endpoint| limits.known(endpoint));
         let recent = limits.recent(now).filter(|known| !of.contains(&known.endpoint));
-        named.chain(recent).take(TOLD_AT_ONCE).map(told_limit).collect()
+        named.chain(recent).take(TOLD_AT_ONCE).map(encode_limit).collect()
     }
 
     /// All limits, for an instance that has just started.
     pub(crate) fn all_limits(&self) -> Vec<LoadDigest> {
-        let all: Vec<_> = self.limits.borrow().all().map(told_limit).collect();
+        let all: Vec<_> = self.limits.borrow().all().map(encode_limit).collect();
         let digest = |part: &[_]| LoadDigest { limits: part.to_vec(), ..self.digest() };
         all.chunks(TOLD_AT_ONCE).map(digest).collect()
     }
@@ -77,7 +77,7 @@
     pub(crate) fn note_limits(&self, digest: &LoadDigest, from_scheduler: bool) {
         let now = self.clock.now();
         for told in &digest.limits {
-            match limit_of(told) {
+            match decode_limit(told) {
                 Ok(told) => self.note_limit(now, &told, from_scheduler),
                 Err(e) => log::warn!(target: "peers", error:% = e; "limit refused"),
             }
--- a/crates/ringbend-relay/src/link.rs
+++ b/crates/ringbend-relay/src/link.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ringbend_wire::{LoadDigest, Message, told_role};
+use ringbend_wire::{LoadDigest, Message, encode_role};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -54,7 +54,7 @@
             incarnation: self.incarnation(),
             clock_us: now.0,
             currency: currency(self),
-            role: told_role(peers.role()),
+            role: encode_role(peers.role()),
             instances: count(peers.instances_at_home(now)),
             fleet: count(peers.instances(now)),
             ..LoadDigest::default()
--- a/crates/ringbend-relay/src/pacing.rs
+++ b/crates/ringbend-relay/src/pacing.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use ringbend_gateway::{ASK_LIMITED_AGAIN, Endpoint, Pace, TrustEvent, WordIn};
 use ringbend_types::{EndpointId, Timestamp};
-use ringbend_wire::{EnginePace, LoadDigest, pace_of};
+use ringbend_wire::{EnginePace, LoadDigest, decode_engine_pace};
 use smallvec::SmallVec;
 
 use crate::exchange::{self, ExchangeError};
@@ -168,7 +168,7 @@
     /// Takes in what other schedulers tell of engines.
     pub(crate) fn note_told_paces(self: &Rc<Self>, digest: &LoadDigest) {
         for told in &digest.paces {
-            match pace_of(told) {
+            match decode_engine_pace(told) {
                 Ok((engine, pace)) => drop(self.note_pace(&engine, pace)),
                 Err(e) => log::warn!(target: "peers", error:% = e; "pace refused"),
             }
--- a/crates/ringbend-relay/src/relayed.rs
+++ b/crates/ringbend-relay/src/relayed.rs
@@ -6,7 +6,9 @@
 
 use ringbend_gateway::{ConfigVersion, EndpointChange, Holds, Role};
 use ringbend_types::Timestamp;
-use ringbend_wire::{Currency, EndpointChanges, LoadDigest, WireError, change_of, role_of};
+use ringbend_wire::{
+    Currency, EndpointChanges, LoadDigest, WireError, decode_endpoint_change, decode_role,
+};
 
 use crate::copies::{apply_endpoints, leave_reading_to_others};
 use crate::node::Node;
@@ -41,7 +43,7 @@
         && take_in_changes(node, changes)
         && node.schedules()
     {
-        tell_on(node, now, from, role_of(digest) == Role::Scheduler, changes);
+        tell_on(node, now, from, decode_role(digest) == Role::Scheduler, changes);
     }
     if let Some(currency) = &digest.currency {
         note_holder(node, from, currency);
@@ -73,7 +75,8 @@
     if known >= to || known < from {
         return false;
     }
-    let rows: Result<Vec<EndpointChange>, WireError> = changes.rows.iter().map(change_of).collect();
+    let rows: Result<Vec<EndpointChange>, WireError> =
+        changes.rows.iter().map(decode_endpoint_change).collect();
     match rows {
         Ok(rows) => {
             apply_endpoints(node, rows, to);
--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -4,7 +4,7 @@
 
 use ringbend_gateway::{Drain, Endpoint, EndpointSignals, MalformedSignal, Signal, WordIn};
 use ringbend_types::{EndpointId, RetryAfter, Timestamp};
-use ringbend_wire::{EndpointDrain, LoadDigest, drain_of, told_drain};
+use ringbend_wire::{EndpointDrain, LoadDigest, decode_drain, encode_drain};
 
 use crate::node::Node;
 
@@ -81,7 +81,7 @@
     /// all, what a scheduler tells to those that do not schedule.
     pub(crate) fn note_drains(&self, digest: &LoadDigest, from_scheduler: bool) {
         for told in &digest.drains {
-            match drain_of(told) {
+            match decode_drain(told) {
                 Ok(drain) => self.note_drain(drain, "another instance", !from_scheduler),
                 Err(e) => log::warn!(target: "peers", error:% = e; "drain refused"),
             }
@@ -94,12 +94,12 @@
         let drains = directory.drains();
         let named = of.iter().filter_map(|endpoint| drains.get(endpoint));
         let recent = drains.recent(now).filter(|drain| !of.contains(&drain.endpoint));
-        named.chain(recent).take(TOLD_AT_ONCE).map(told_drain).collect()
+        named.chain(recent).take(TOLD_AT_ONCE).map(encode_drain).collect()
     }
 
     /// All announcements, for an instance that has just started.
     pub(crate) fn all_drains(&self) -> Vec<LoadDigest> {
-        let all: Vec<_> = self.directory.borrow().drains().all().map(told_drain).collect();
+        let all: Vec<_> = self.directory.borrow().drains().all().map(encode_drain).collect();
         let digest = |part: &[_]| LoadDigest { drains: part.to_vec(), ..self.digest() };
         all.chunks(TOLD_AT_ONCE).map(digest).collect()
     }
--- a/crates/ringbend-relay/src/suspects.rs
+++ b/crates/ringbend-relay/src/suspects.rs
@@ -8,7 +8,7 @@
     Arbiter, Endpoint, EngineProfile, Job, Peers, Placement, SuspectState, WorkId,
 };
 use ringbend_types::{Fingerprint, Timestamp};
-use ringbend_wire::{LoadDigest, Suspicion, suspicion_of, told_suspicion};
+use ringbend_wire::{LoadDigest, Suspicion, decode_suspicion, encode_suspicion};
 
 use crate::node::Node;
 use crate::placing::{Counted, Denied, Unplaced};
@@ -81,7 +81,7 @@
         let quarantine = self.quarantine.borrow();
         let named = of.iter().filter_map(|of| quarantine.of(*of));
         let recent = quarantine.recent(now).filter(|s| !of.contains(&s.fingerprint));
-        named.chain(recent).take(TOLD_AT_ONCE).map(told_suspicion).collect()
+        named.chain(recent).take(TOLD_AT_ONCE).map(encode_suspicion).collect()
     }
 
     /// All that an instance needs to know which has just started, in as many digests as it takes; none if
@@ -91,7 +91,7 @@
             return Vec::new();
         }
         let all: Vec<Suspicion> =
-            self.quarantine.borrow().for_starting().map(told_suspicion).collect();
+            self.quarantine.borrow().for_starting().map(encode_suspicion).collect();
         let digest = |part: &[Suspicion]| LoadDigest { suspicions: part.to_vec(), ..self.digest() };
         let mut digests: Vec<LoadDigest> = all.chunks(TOLD_AT_ONCE).map(digest).collect();
         let last = digests.pop().unwrap_or_else(|| self.digest());
@@ -104,7 +104,7 @@
     pub(crate) fn note_suspicions(&self, digest: &LoadDigest, from_scheduler: bool) {
         let now = self.clock.now();
         for told in &digest.suspicions {
-            match suspicion_of(told) {
+            match decode_suspicion(told) {
                 Ok(told) => {
                     if self.quarantine.borrow_mut().merge(now, &told) {
                         self.changed_suspect(told.fingerprint, !from_scheduler);
--- a/crates/ringbend-relay/src/telling.rs
+++ b/crates/ringbend-relay/src/telling.rs
@@ -11,8 +11,8 @@
 use ringbend_gateway::{HEARTBEAT, Outbox, WorkId};
 use ringbend_types::{EndpointId, Timestamp};
 use ringbend_wire::{
-    EndpointChanges, EndpointRestart, LoadDigest, OpenWork, OwnersWork, endpoint_result,
-    placed_work, restart, waiting_work,
+    EndpointChanges, EndpointRestart, LoadDigest, OpenWork, OwnersWork, encode_endpoint_restart,
+    encode_endpoint_result, encode_placed_work, encode_waiting_work,
 };
 
 use crate::link::GATHER;
@@ -42,7 +42,11 @@
 }
 
 fn restarts(outbox: &Outbox) -> Vec<EndpointRestart> {
-    outbox.restarts.iter().map(|(endpoint, start)| restart(endpoint, *start)).collect()
+    outbox
+        .restarts
+        .iter()
+        .map(|(endpoint, start)| encode_endpoint_restart(endpoint, *start))
+        .collect()
 }
 
 impl Teller {
@@ -136,7 +140,8 @@
         let drains = self.node.told_drains(&outbox.drains, now);
         let suspicions = self.node.told_suspicions(&outbox.suspicions, now);
         if let Some(scheduler) = scheduler {
-            let results = outbox.results.iter().map(|(id, event)| endpoint_result(id, *event));
+            let results =
+                outbox.results.iter().map(|(id, event)| encode_endpoint_result(id, *event));
             let first = LoadDigest {
                 unfit: outbox.unfit.iter().map(EndpointId::to_string).collect(),
                 results: results.collect(),
@@ -233,11 +238,11 @@
         let load = self.load.borrow();
         for id in &outbox.waiting {
             let Some(waiting) = load.waits(*id) else { continue };
-            owner(&mut owners, *id).waiting.push(waiting_work(now, *id, waiting));
+            owner(&mut owners, *id).waiting.push(encode_waiting_work(now, *id, waiting));
         }
         for id in &outbox.placed {
             let Some((work, writing)) = load.work(*id) else { continue };
-            owner(&mut owners, *id).placed.push(placed_work(now, *id, work, writing));
+            owner(&mut owners, *id).placed.push(encode_placed_work(now, *id, work, writing));
         }
         outbox.writing.iter().for_each(|id| owner(&mut owners, *id).writing.push(id.sequence));
         outbox.ended.iter().for_each(|id| owner(&mut owners, *id).ended.push(id.sequence));
--- a/crates/ringbend-wire/src/map.rs
+++ b/crates/ringbend-wire/src/convert.rs
@@ -18,9 +18,9 @@
     /// An address is malformed.
     Address(AddrParseError),
     /// An enum has a number this release does not know.
-    UnknownNumber(i32),
+    UnknownEnumValue(i32),
     /// A required part is missing.
-    Missing(&'static str),
+    MissingField(&'static str),
     /// A settings entry or snapshot does not parse.
     Settings(serde_json::Error),
     /// The bytes are not a message.
@@ -34,8 +34,8 @@
         match self {
             Self::Id(e) => write!(f, "identifier: {e}"),
             Self::Address(e) => write!(f, "address: {e}"),
-            Self::UnknownNumber(n) => write!(f, "unknown enum number {n}"),
-            Self::Missing(part) => write!(f, "{part} is missing"),
+            Self::UnknownEnumValue(n) => write!(f, "unknown enum number {n}"),
+            Self::MissingField(part) => write!(f, "{part} is missing"),
             Self::Settings(e) => write!(f, "settings: {e}"),
             Self::Decode(e) => write!(f, "not a message: {e}"),
             Self::Fingerprint(e) => write!(f, "fingerprint: {e}"),
@@ -114,11 +114,11 @@
     type Error = WireError;
 
     fn try_from(update: wire::Update) -> Result<Self, WireError> {
-        match update.news.ok_or(WireError::Missing("news"))? {
+        match update.news.ok_or(WireError::MissingField("news"))? {
             wire::update::News::EndpointLeaving(id) => Ok(Self::EndpointLeaving(id.parse()?)),
             wire::update::News::Member(member) => {
                 let state = wire::MemberState::try_from(member.state)
-                    .map_err(|e| WireError::UnknownNumber(e.0))?;
+                    .map_err(|e| WireError::UnknownEnumValue(e.0))?;
                 Ok(Self::Member {
                     id: member.id.parse()?,
                     address: member.address.parse()?,
@@ -158,8 +158,8 @@
     type Error = WireError;
 
     fn try_from(message: wire::Gossip) -> Result<Self, WireError> {
-        let kind =
-            wire::GossipKind::try_from(message.kind).map_err(|e| WireError::UnknownNumber(e.0))?;
+        let kind = wire::GossipKind::try_from(message.kind)
+            .map_err(|e| WireError::UnknownEnumValue(e.0))?;
         let kind = match kind {
             wire::GossipKind::Ping => gossip::Kind::Ping,
             wire::GossipKind::Ack => gossip::Kind::Ack,
@@ -223,7 +223,7 @@
 
 impl wire::EntriesReply {
     /// What a replica has after `version`.
-    pub fn after(replica: &Replica, version: SettingsVersion) -> Self {
+    pub fn from_replica(replica: &Replica, version: SettingsVersion) -> Self {
         let json = |entry: &LogEntry| serde_json::to_string(entry).unwrap_or_default();
         match replica.entries_after(version) {
             Some(entries) => {
@@ -241,7 +241,7 @@
     /// # Errors
     ///
     /// An entry or the snapshot does not parse; entries before it are applied.
-    pub fn bring_up(&self, replica: &mut Replica) -> Result<(), WireError> {
+    pub fn apply_to(&self, replica: &mut Replica) -> Result<(), WireError> {
         if !self.snapshot.is_empty() {
             let snapshot: Snapshot =
                 serde_json::from_str(&self.snapshot).map_err(WireError::Settings)?;
--- a/crates/ringbend-wire/src/drains.rs
+++ b/crates/ringbend-wire/src/drains.rs
@@ -3,11 +3,11 @@
 use ringbend_gateway::Drain;
 use ringbend_types::EndpointStart;
 
+use crate::convert::WireError;
 use crate::generated::EndpointDrain;
-use crate::map::WireError;
 
 /// An announcement as told to peers.
-pub fn told_drain(drain: &Drain) -> EndpointDrain {
+pub fn encode_drain(drain: &Drain) -> EndpointDrain {
     EndpointDrain {
         endpoint: drain.endpoint.to_string(),
         start_ms: drain.start.map(|start| start.0),
@@ -19,6 +19,6 @@
 /// # Errors
 ///
 /// The endpoint's id is malformed.
-pub fn drain_of(told: &EndpointDrain) -> Result<Drain, WireError> {
+pub fn decode_drain(told: &EndpointDrain) -> Result<Drain, WireError> {
     Ok(Drain { endpoint: told.endpoint.parse()?, start: told.start_ms.map(EndpointStart) })
 }
--- a/crates/ringbend-wire/src/endpoints.rs
+++ b/crates/ringbend-wire/src/endpoints.rs
@@ -3,11 +3,11 @@
 use ringbend_gateway::{Endpoint, EndpointChange};
 use ringbend_types::{EndpointId, EndpointStart};
 
+use crate::convert::WireError;
 use crate::generated::{EndpointRestart, EndpointRow};
-use crate::map::WireError;
 
 /// A change as told to peers.
-pub fn row_of(change: &EndpointChange) -> EndpointRow {
+pub fn encode_endpoint_change(change: &EndpointChange) -> EndpointRow {
     match change {
         EndpointChange::Gone(id) => {
             EndpointRow { id: id.to_string(), gone: true, ..EndpointRow::default() }
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// An id or an address is malformed.
-pub fn change_of(row: &EndpointRow) -> Result<EndpointChange, WireError> {
+pub fn decode_endpoint_change(row: &EndpointRow) -> Result<EndpointChange, WireError> {
     let id = row.id.parse()?;
     if row.gone {
         return Ok(EndpointChange::Gone(id));
@@ -54,7 +54,7 @@
 }
 
 /// An endpoint that has started again, as told to peers.
-pub fn restart(endpoint: &EndpointId, start: EndpointStart) -> EndpointRestart {
+pub fn encode_endpoint_restart(endpoint: &EndpointId, start: EndpointStart) -> EndpointRestart {
     EndpointRestart { endpoint: endpoint.to_string(), start_ms: start.0 }
 }
 
@@ -63,6 +63,8 @@
 /// # Errors
 ///
 /// The endpoint's id is malformed.
-pub fn restart_of(told: &EndpointRestart) -> Result<(EndpointId, EndpointStart), WireError> {
+pub fn decode_endpoint_restart(
+    told: &EndpointRestart,
+) -> Result<(EndpointId, EndpointStart), WireError> {
     Ok((told.endpoint.parse()?, EndpointStart(told.start_ms)))
 }
--- a/crates/ringbend-wire/src/lib.rs
+++ b/crates/ringbend-wire/src/lib.rs
@@ -2,11 +2,12 @@
 //! mapped here to the types of the decision crates. Text that does not parse is an error, never a
 //! default.
 
+mod convert;
 mod drains;
 mod endpoints;
 mod limits;
 mod load;
-mod map;
+
 mod suspicions;
 
 /// Generated messages; see `proto/peer.proto` for what each field holds.
@@ -14,8 +15,12 @@
 #[rustfmt::skip]
 mod generated;
 
-pub use drains::{drain_of, told_drain};
-pub use endpoints::{change_of, restart, restart_of, row_of};
+pub use convert::WireError;
+pub use drains::{decode_drain, encode_drain};
+pub use endpoints::{
+    decode_endpoint_change, decode_endpoint_restart, encode_endpoint_change,
+    encode_endpoint_restart,
+};
 pub use generated::{
     Ask, ConfigCopy, Currency, Demand, EndedProcess, EndpointChanges, EndpointDrain, EndpointLimit,
     EndpointRestart, EndpointResult, EndpointRow, EnginePace, EntriesReply, EntriesRequest,
@@ -23,14 +28,14 @@
     Member, MemberState, OpenWork, OwnersWork, PlacedWork, ResultKind, Share, Suspicion, Update,
     Verdict, WaitingWork, envelope, update,
 };
-pub use limits::{limit_of, told_limit};
+pub use limits::{decode_limit, encode_limit};
 pub use load::{
-    ask_of, endpoint_result, job_of, pace_of, placed_work, result_of, role_of, told_role,
-    waiting_of, waiting_work, work_of,
+    decode_ask, decode_endpoint_result, decode_engine_pace, decode_placed_work, decode_role,
+    decode_waiting_work, encode_ask, encode_endpoint_result, encode_placed_work, encode_role,
+    encode_waiting_work,
 };
-pub use map::WireError;
 pub use prost::Message;
-pub use suspicions::{suspicion_of, told_suspicion};
+pub use suspicions::{decode_suspicion, encode_suspicion};
 
 /// Instances whose protocol numbers are equal understand each other.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
--- a/crates/ringbend-wire/src/limits.rs
+++ b/crates/ringbend-wire/src/limits.rs
@@ -3,11 +3,11 @@
 use ringbend_gateway::NamedLimit;
 use ringbend_types::{EndpointStart, RequestRate};
 
+use crate::convert::WireError;
 use crate::generated::EndpointLimit;
-use crate::map::WireError;
 
 /// What is known of an endpoint's limit, as told to peers.
-pub fn told_limit(limit: &NamedLimit) -> EndpointLimit {
+pub fn encode_limit(limit: &NamedLimit) -> EndpointLimit {
     EndpointLimit {
         endpoint: limit.endpoint.to_string(),
         start_ms: limit.start.map(|start| start.0),
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// The endpoint's id is malformed.
-pub fn limit_of(told: &EndpointLimit) -> Result<NamedLimit, WireError> {
+pub fn decode_limit(told: &EndpointLimit) -> Result<NamedLimit, WireError> {
     Ok(NamedLimit {
         endpoint: told.endpoint.parse()?,
         start: told.start_ms.map(EndpointStart),
--- a/crates/ringbend-wire/src/load.rs
+++ b/crates/ringbend-wire/src/load.rs
@@ -5,18 +5,18 @@
 use ringbend_gateway::{Demand, Held, Job, Pace, Role, TrustEvent, Waiting, Work, WorkId};
 use ringbend_types::{EndpointId, Fingerprint, ParseFingerprintError, ParseIdError, Timestamp};
 
+use crate::convert::WireError;
 use crate::generated::{
     self as wire, Ask, EndpointResult, EnginePace, HeldMemory, LoadDigest, PlacedWork, ResultKind,
     WaitingWork,
 };
-use crate::map::WireError;
 
 fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Work as told to peers at `now`.
-pub fn placed_work(now: Timestamp, id: WorkId, work: &Work, writing: bool) -> PlacedWork {
+pub fn encode_placed_work(now: Timestamp, id: WorkId, work: &Work, writing: bool) -> PlacedWork {
     PlacedWork {
         sequence: id.sequence,
         lead: work.lead.to_string(),
@@ -55,7 +55,7 @@
 /// # Errors
 ///
 /// An endpoint's id is malformed.
-pub fn work_of(now: Timestamp, placed: &PlacedWork) -> Result<Work, WireError> {
+pub fn decode_placed_work(now: Timestamp, placed: &PlacedWork) -> Result<Work, WireError> {
     let helpers = placed.helpers.iter().map(|id| id.parse());
     Ok(Work {
         lead: placed.lead.parse()?,
@@ -73,7 +73,7 @@
 }
 
 /// A long prompt that waits, as told to peers at `now`.
-pub fn waiting_work(now: Timestamp, id: WorkId, waiting: &Waiting) -> WaitingWork {
+pub fn encode_waiting_work(now: Timestamp, id: WorkId, waiting: &Waiting) -> WaitingWork {
     WaitingWork {
         sequence: id.sequence,
         read_us: u64::try_from(waiting.read.as_micros()).unwrap_or(u64::MAX),
@@ -89,7 +89,7 @@
 /// # Errors
 ///
 /// The service's name is malformed.
-pub fn waiting_of(now: Timestamp, told: &WaitingWork) -> Result<Waiting, WireError> {
+pub fn decode_waiting_work(now: Timestamp, told: &WaitingWork) -> Result<Waiting, WireError> {
     Ok(Waiting {
         service: told.service.parse()?,
         read: Duration::from_micros(told.read_us),
@@ -100,7 +100,7 @@
 }
 
 /// A request that is to be placed, as told to a scheduler at `now`.
-pub fn ask_of(now: Timestamp, id: WorkId, job: &Job) -> Ask {
+pub fn encode_ask(now: Timestamp, id: WorkId, job: &Job) -> Ask {
     Ask {
         sequence: id.sequence,
         request: job.request.to_string(),
@@ -126,7 +126,7 @@
 /// # Errors
 ///
 /// The service's name or an endpoint's id is malformed.
-pub fn job_of(now: Timestamp, ask: &Ask) -> Result<Job, WireError> {
+pub fn decode_ask(now: Timestamp, ask: &Ask) -> Result<Job, WireError> {
     let answer_tokens = ask.answer_tokens;
     let tried = ask.tried.iter().map(|id| id.parse());
     let closed = ask.closed.iter().map(|id| id.parse());
@@ -148,7 +148,7 @@
 }
 
 /// How a request went at an endpoint, as told to a scheduler.
-pub fn endpoint_result(endpoint: &EndpointId, event: TrustEvent) -> EndpointResult {
+pub fn encode_endpoint_result(endpoint: &EndpointId, event: TrustEvent) -> EndpointResult {
     let kind = match event {
         TrustEvent::Good => ResultKind::Good,
         TrustEvent::Bad => ResultKind::Bad,
@@ -163,7 +163,9 @@
 /// # Errors
 ///
 /// The endpoint's id is malformed.
-pub fn result_of(told: &EndpointResult) -> Result<(EndpointId, TrustEvent), WireError> {
+pub fn decode_endpoint_result(
+    told: &EndpointResult,
+) -> Result<(EndpointId, TrustEvent), WireError> {
     let event = match told.kind() {
         ResultKind::Good => TrustEvent::Good,
         ResultKind::Bad => TrustEvent::Bad,
@@ -178,12 +180,12 @@
 /// # Errors
 ///
 /// The engine's id is malformed.
-pub fn pace_of(told: &EnginePace) -> Result<(EndpointId, Pace), WireError> {
+pub fn decode_engine_pace(told: &EnginePace) -> Result<(EndpointId, Pace), WireError> {
     Ok((told.endpoint.parse()?, Pace::from_percent(told.percent)))
 }
 
 /// What an instance does, as told to others.
-pub fn told_role(role: Role) -> i32 {
+pub fn encode_role(role: Role) -> i32 {
     let role = match role {
         Role::Starting => wire::Role::Starting,
         Role::Scheduler => wire::Role::Scheduler,
@@ -193,7 +195,7 @@
 }
 
 /// What the sender of a digest does. A role that this version does not know is none to rely on.
-pub fn role_of(digest: &LoadDigest) -> Role {
+pub fn decode_role(digest: &LoadDigest) -> Role {
     match digest.role() {
         wire::Role::Starting => Role::Starting,
         wire::Role::Scheduler => Role::Scheduler,
--- a/crates/ringbend-wire/src/suspicions.rs
+++ b/crates/ringbend-wire/src/suspicions.rs
@@ -3,11 +3,11 @@
 use ringbend_gateway::{EndedProcess, Suspicion};
 use ringbend_types::EndpointStart;
 
+use crate::convert::WireError;
 use crate::generated as wire;
-use crate::map::WireError;
 
 /// What is known of a request, as told to peers and kept.
-pub fn told_suspicion(suspicion: &Suspicion) -> wire::Suspicion {
+pub fn encode_suspicion(suspicion: &Suspicion) -> wire::Suspicion {
     let ended = suspicion.ended.iter().map(|process| wire::EndedProcess {
         endpoint: process.endpoint.to_string(),
         start_ms: process.start.map(|start| start.0),
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// The fingerprint or an endpoint's id is malformed.
-pub fn suspicion_of(told: &wire::Suspicion) -> Result<Suspicion, WireError> {
+pub fn decode_suspicion(told: &wire::Suspicion) -> Result<Suspicion, WireError> {
     let ended = told.ended.iter().map(|process| {
         let start = process.start_ms.map(EndpointStart);
         Ok(EndedProcess { endpoint: process.endpoint.parse()?, start })
--- a/crates/ringbend-wire/tests/messages.rs
+++ b/crates/ringbend-wire/tests/messages.rs
@@ -76,12 +76,12 @@
         ahead.apply(&entry(version));
     });
     behind.apply(&entry(1));
-    EntriesReply::after(&ahead, behind.version()).bring_up(&mut behind).unwrap();
+    EntriesReply::from_replica(&ahead, behind.version()).apply_to(&mut behind).unwrap();
     assert_eq!(behind.snapshot(), ahead.snapshot());
     let mut far_behind = Replica::default();
     let mut loaded = Replica::default();
     loaded.load(ahead.snapshot().clone());
-    EntriesReply::after(&loaded, far_behind.version()).bring_up(&mut far_behind).unwrap();
+    EntriesReply::from_replica(&loaded, far_behind.version()).apply_to(&mut far_behind).unwrap();
     assert_eq!(far_behind.version(), SettingsVersion(5));
 }
 
--- a/crates/ringbendd/src/instance.rs
+++ b/crates/ringbendd/src/instance.rs
@@ -9,7 +9,7 @@
 use ringbend_runtime::{Clock, Server, ServerConfig, TimerService, serve, unix_millis};
 use ringbend_telemetry::{Export, Metrics, Tracing};
 use ringbend_types::Incarnation;
-use ringbend_wire::{Hello, PROTOCOL};
+use ringbend_wire::{Hello, PROTOCOL_VERSION};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
@@ -59,7 +59,7 @@
         let metrics = Metrics::default();
         let (tracing, exports) = start_tracing(&cfg)?;
         let hello = Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             instance: cfg.instance.to_string(),
             incarnation: incarnation.0,
             data_centre: cfg.data_centre.to_string(),
--- a/crates/ringbendd/src/peers/mod.rs
+++ b/crates/ringbendd/src/peers/mod.rs
@@ -246,7 +246,7 @@
             }
             envelope::Body::EntriesRequest(request) => {
                 let after = SettingsVersion(request.after);
-                let reply = app.settings.with(|replica| EntriesReply::after(replica, after));
+                let reply = app.settings.with(|replica| EntriesReply::from_replica(replica, after));
                 envelope::Body::EntriesReply(reply)
             }
             _ => return None,
--- a/crates/ringbendd/src/peers/quic.rs
+++ b/crates/ringbendd/src/peers/quic.rs
@@ -11,7 +11,7 @@
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
 use quinn::{Connection, Endpoint, IdleTimeout, TransportConfig, VarInt};
-use ringbend_wire::{Envelope, Hello, Message, PROTOCOL, WireError, envelope};
+use ringbend_wire::{Envelope, Hello, Message, PROTOCOL_VERSION, WireError, envelope};
 use tokio::sync::{mpsc, oneshot};
 
 use super::tls::{Identity, PEER_NAME};
@@ -223,7 +223,7 @@
     let answer = tokio::time::timeout(ASK_TIMEOUT, ask(&connection, &greeting)).await;
     match answer {
         Ok(Ok(Envelope { body: Some(envelope::Body::Hello(theirs)) }))
-            if theirs.protocol == PROTOCOL =>
+            if theirs.protocol == PROTOCOL_VERSION =>
         {
             Ok(connection)
         }
@@ -298,7 +298,7 @@
     let ours = Envelope { body: Some(envelope::Body::Hello(hello)) };
     tx.write_all(&ours.encode_to_vec()).await.ok()?;
     tx.finish().ok()?;
-    (theirs.protocol == PROTOCOL).then_some(theirs)
+    (theirs.protocol == PROTOCOL_VERSION).then_some(theirs)
 }
 
 async fn answer(app: Weak<App>, mut tx: quinn::SendStream, mut rx: quinn::RecvStream) {
--- a/crates/ringbendd/src/settings_sync.rs
+++ b/crates/ringbendd/src/settings_sync.rs
@@ -98,7 +98,7 @@
 
     fn take_entries(&self, app: &Rc<App>, reply: &EntriesReply) {
         let before = self.version();
-        let taken = reply.bring_up(&mut self.replica.borrow_mut());
+        let taken = reply.apply_to(&mut self.replica.borrow_mut());
         if let Err(e) = taken {
             log::warn!("a peer's settings were not understood: {e}");
         }
