--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -102,7 +102,7 @@
         ports: Ports,
         read: fn() -> Duration,
     ) -> Result<Self, Report<RelayError>> {
-        Self::start_at(cfg, ports, Clock::reading(read, CLOCK_AT_START)).await
+        Self::start_at(cfg, ports, Clock::with_source(read, CLOCK_AT_START)).await
     }
 
     async fn start_at(
--- a/crates/ringbend-relay/src/streams.rs
+++ b/crates/ringbend-relay/src/streams.rs
@@ -6,7 +6,7 @@
 use actix_http::ResponseHead;
 use bytes::Bytes;
 use ringbend_gateway::{Endpoint, Event, EventCutter, EventId, Next, SendEnd};
-use ringbend_runtime::{HttpResponse, StreamError, StreamReply, stream};
+use ringbend_runtime::{HttpResponse, StreamError, StreamSender, stream};
 use ringbend_types::Timestamp;
 use smallvec::SmallVec;
 
@@ -113,7 +113,7 @@
     }
 }
 
-async fn pass_on(life: &mut Life, relayed: Relayed, tx: &StreamReply) -> Result<(), Cut> {
+async fn pass_on(life: &mut Life, relayed: Relayed, tx: &StreamSender) -> Result<(), Cut> {
     let Relayed { mut endpoint, mut placed, mut on, mut events, first, .. } = relayed;
     let Some(first) = first else { return Ok(()) };
     let mut last = first.id.or(life.call.last_event);
@@ -144,7 +144,7 @@
     }
 }
 
-async fn deliver(tx: &StreamReply, event: Event) {
+async fn deliver(tx: &StreamSender, event: Event) {
     if tx.send(Ok(Bytes::from(event.bytes))).await.is_err() {
         // The task ends as soon as it sees that the caller has left.
         std::future::pending::<()>().await;
--- a/crates/ringbend-runtime/src/clock.rs
+++ b/crates/ringbend-runtime/src/clock.rs
@@ -44,11 +44,11 @@
     /// A clock that starts now and shows `at_start`, so that moments up to so long before its start
     /// can be told.
     pub fn start_at(at_start: Timestamp) -> Self {
-        Self::reading(time_since_boot, at_start)
+        Self::with_source(time_since_boot, at_start)
     }
 
     /// A clock that goes by what `read` tells and shows `at_start` now.
-    pub fn reading(read: fn() -> Duration, at_start: Timestamp) -> Self {
+    pub fn with_source(read: fn() -> Duration, at_start: Timestamp) -> Self {
         Self { read, start: read(), at_start }
     }
 
--- a/crates/ringbend-runtime/src/lib.rs
+++ b/crates/ringbend-runtime/src/lib.rs
@@ -5,12 +5,12 @@
 
 mod body;
 mod clock;
-mod reply;
+mod response;
 mod server;
 mod timers;
 
 pub use body::{BodyError, read_body, read_body_with};
 pub use clock::{Clock, unix_millis};
-pub use reply::{StreamError, StreamReply, empty, json, stream, text};
+pub use response::{StreamError, StreamSender, empty, json, stream, text};
 pub use server::{Handler, HttpRequest, HttpResponse, Server, ServerConfig, serve};
 pub use timers::{Subscription, TimerService};
--- a/crates/ringbend-runtime/src/reply.rs
+++ b/crates/ringbend-runtime/src/response.rs
@@ -52,7 +52,7 @@
 impl std::error::Error for StreamError {}
 
 /// The sending end of a streamed answer. Dropping it ends the answer.
-pub type StreamReply = mpsc::Sender<Result<Bytes, StreamError>>;
+pub type StreamSender = mpsc::Sender<Result<Bytes, StreamError>>;
 
 /// A streamed response that holds at most `depth` chunks. Its sender is closed when the reader
 /// has gone.
@@ -60,7 +60,7 @@
 /// An error that cuts the answer is told one poll late: the server writes out what it holds only
 /// when the body has nothing ready, and throws it away on an error. Without the pause the reader
 /// would miss chunks that were sent just before the cut.
-pub fn stream(status: StatusCode, depth: usize) -> (StreamReply, HttpResponse) {
+pub fn stream(status: StatusCode, depth: usize) -> (StreamSender, HttpResponse) {
     let (tx, mut rx) = mpsc::channel(depth);
     let mut cut = None;
     let chunks = stream::poll_fn(move |cx| {
--- a/crates/ringbend-runtime/tests/clock.rs
+++ b/crates/ringbend-runtime/tests/clock.rs
@@ -21,7 +21,7 @@
 
 #[actix_rt::test]
 async fn a_wait_ends_soon_after_a_suspension_that_it_would_have_ended_in() {
-    let clock = Clock::reading(time_with_suspension, Timestamp::default());
+    let clock = Clock::with_source(time_with_suspension, Timestamp::default());
     let began = Instant::now();
     let at = clock.now() + Duration::from_secs(4);
     let suspend = async {
@@ -35,7 +35,7 @@
 
 #[actix_rt::test]
 async fn what_has_passed_in_a_suspension_is_not_waited_for() {
-    let clock = Clock::reading(time_with_suspension, Timestamp::default());
+    let clock = Clock::with_source(time_with_suspension, Timestamp::default());
     let at = clock.now() + Duration::from_secs(4);
     SUSPENDED.set(SUSPENDED.get() + Duration::from_secs(5));
     let began = Instant::now();
--- a/crates/ringbend-standins/src/engine_api.rs
+++ b/crates/ringbend-standins/src/engine_api.rs
@@ -11,7 +11,7 @@
 use ringbend_models::{Submit, SubmitError, prefix_blocks};
 use ringbend_platform::{Order, Reservation, headers};
 use ringbend_runtime::{
-    Handler, HttpRequest, HttpResponse, StreamError, StreamReply, empty, json, read_body, stream,
+    Handler, HttpRequest, HttpResponse, StreamError, StreamSender, empty, json, read_body, stream,
 };
 use ringbend_types::{AttemptId, RequestId, TokenCount};
 use serde::Deserialize;
@@ -232,7 +232,7 @@
     driver: Rc<EngineDriver>,
     attempt: AttemptId,
     mut tokens: UnboundedReceiver<Token>,
-    tx: StreamReply,
+    tx: StreamSender,
     voice: Voice,
 ) {
     let cut = driver.use_fault(|faults| &mut faults.cut_streams);
--- a/crates/ringbendd/src/callers/side.rs
+++ b/crates/ringbendd/src/callers/side.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ringbend_runtime::{HttpResponse, StreamReply};
+use ringbend_runtime::{HttpResponse, StreamSender};
 use tokio::sync::oneshot;
 
 /// A caller that does not read for this long is taken for gone.
@@ -14,7 +14,7 @@
     /// Nothing has been answered yet.
     Waiting(oneshot::Sender<HttpResponse>),
     /// The head is out; the body follows.
-    Streaming(StreamReply),
+    Streaming(StreamSender),
     /// The answer has ended.
     Ended,
 }
@@ -46,7 +46,7 @@
     }
 
     /// Answers with the head of a streamed response.
-    pub(crate) fn begin(&mut self, res: HttpResponse, body: StreamReply) {
+    pub(crate) fn begin(&mut self, res: HttpResponse, body: StreamSender) {
         if let Self::Waiting(tx) = std::mem::replace(self, Self::Streaming(body)) {
             let _ = tx.send(res);
         }
