--- a/crates/ringbend-playground/src/main.rs
+++ b/crates/ringbend-playground/src/main.rs
@@ -9,7 +9,7 @@
 use ringbend_playground::{
     ADMIN_KEY, CALLER_KEY, Fleet, FleetConfig, FleetError, LoadConfig, Report, run_load,
 };
-use ringbend_telemetry::{LogConfig, start_logs};
+use ringbend_telemetry::{LogConfig, init_logging};
 use serde_json::Value;
 
 /// Instances and stand-ins in one process on loopback, a mixed load, a report; then it stays up.
@@ -73,7 +73,7 @@
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let _ = start_logs(&LogConfig { level: args.log, ..LogConfig::default() });
+    let _ = init_logging(&LogConfig { level: args.log, ..LogConfig::default() });
     match actix_rt::System::new().block_on(run(args)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(2),
--- a/crates/ringbend-telemetry/src/lib.rs
+++ b/crates/ringbend-telemetry/src/lib.rs
@@ -1,12 +1,12 @@
 //! To see what Ringbend does: logs by `fern`, metrics by `prometheus-client`, and traces with a
 //! span for each hop, exported by OTLP when an address is set.
 
-mod lines;
+mod line_queue;
 mod logs;
 mod metrics;
 mod traces;
 
-pub use lines::drain_logs;
-pub use logs::{LogConfig, LogError, LogFormat, LogOutput, ParseLogFormatError, start_logs};
+pub use line_queue::flush_logs;
+pub use logs::{LogConfig, LogError, LogFormat, LogOutput, ParseLogFormatError, init_logging};
 pub use metrics::{Metrics, Outcome};
-pub use traces::{Export, Hop, HopKind, TraceContext, Tracing};
+pub use traces::{Export, TraceContext, TraceSpan, TraceSpanKind, Tracing};
--- a/crates/ringbend-telemetry/src/lines.rs
+++ b/crates/ringbend-telemetry/src/line_queue.rs
@@ -15,12 +15,12 @@
 /// Lines that were queued and are not written yet, over the whole process.
 static WAITING: AtomicU64 = AtomicU64::new(0);
 
-/// How often `drain_logs` looks.
+/// How often `flush_logs` looks.
 const DRAIN_STEP: Duration = Duration::from_millis(2);
 
 /// Waits until the lines queued so far are written, but no longer than `limit`. For the end of a
 /// process, which does not wait for the writer by itself.
-pub fn drain_logs(limit: Duration) {
+pub fn flush_logs(limit: Duration) {
     let end = Instant::now() + limit;
     while WAITING.load(Ordering::Relaxed) > 0 && Instant::now() < end {
         thread::sleep(DRAIN_STEP);
--- a/crates/ringbend-telemetry/src/logs.rs
+++ b/crates/ringbend-telemetry/src/logs.rs
@@ -8,7 +8,7 @@
 use log::kv::{Key, Value, VisitSource};
 use serde::{Deserialize, Serialize};
 
-use crate::lines::LineQueue;
+use crate::line_queue::LineQueue;
 
 /// How a line is written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -113,7 +113,7 @@
 /// # Errors
 ///
 /// A logger was started before.
-pub fn start_logs(cfg: &LogConfig) -> Result<(), LogError> {
+pub fn init_logging(cfg: &LogConfig) -> Result<(), LogError> {
     let format = cfg.format;
     let queue = LineQueue::start(cfg.output);
     fern::Dispatch::new()
--- a/crates/ringbend-telemetry/src/metrics.rs
+++ b/crates/ringbend-telemetry/src/metrics.rs
@@ -121,7 +121,7 @@
     }
 
     /// Admitted requests since the start.
-    pub fn admitted_so_far(&self) -> u64 {
+    pub fn admitted_total(&self) -> u64 {
         self.admitted.get()
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Requests that ended this way since the start.
-    pub fn ended_so_far(&self, outcome: Outcome) -> u64 {
+    pub fn ended_total(&self, outcome: Outcome) -> u64 {
         self.requests.get_or_create(&OutcomeLabels { outcome }).get()
     }
 
--- a/crates/ringbend-telemetry/src/traces.rs
+++ b/crates/ringbend-telemetry/src/traces.rs
@@ -49,7 +49,7 @@
 
 /// Which side of a hop a span is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HopKind {
+pub enum TraceSpanKind {
     /// A request was taken.
     Server,
     /// A request was sent.
@@ -60,26 +60,26 @@
 
 /// One hop's span. It ends when dropped.
 #[derive(Debug)]
-pub struct Hop {
+pub struct TraceSpan {
     span: Option<SdkSpan>,
     context: TraceContext,
 }
 
-impl Hop {
+impl TraceSpan {
     /// The context for what this hop calls.
     pub fn context(&self) -> &TraceContext {
         &self.context
     }
 
     /// Notes an attribute.
-    pub fn note(&mut self, key: &'static str, value: impl fmt::Display) {
+    pub fn set_attribute(&mut self, key: &'static str, value: impl fmt::Display) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(key, value.to_string()));
         }
     }
 }
 
-impl Drop for Hop {
+impl Drop for TraceSpan {
     fn drop(&mut self) {
         if let Some(span) = &mut self.span {
             span.end();
@@ -128,7 +128,7 @@
     /// # Errors
     ///
     /// The address does not parse.
-    pub fn exporting(
+    pub fn with_exporter(
         otlp_url: &str,
         instance: &str,
     ) -> Result<(Self, mpsc::Receiver<Export>), ExporterBuildError> {
@@ -152,14 +152,19 @@
     }
 
     /// Starts a hop below `parent`.
-    pub fn hop(&self, name: &'static str, kind: HopKind, parent: &TraceContext) -> Hop {
+    pub fn start_span(
+        &self,
+        name: &'static str,
+        kind: TraceSpanKind,
+        parent: &TraceContext,
+    ) -> TraceSpan {
         let Some((tracer, _)) = &self.tracer else {
-            return Hop { span: None, context: parent.clone() };
+            return TraceSpan { span: None, context: parent.clone() };
         };
         let kind = match kind {
-            HopKind::Server => SpanKind::Server,
-            HopKind::Client => SpanKind::Client,
-            HopKind::Internal => SpanKind::Internal,
+            TraceSpanKind::Server => SpanKind::Server,
+            TraceSpanKind::Client => SpanKind::Client,
+            TraceSpanKind::Internal => SpanKind::Internal,
         };
         let cx = match &parent.span {
             Some(span) => Context::new().with_remote_span_context(span.clone()),
@@ -168,7 +173,7 @@
         let builder = tracer.span_builder(name).with_kind(kind);
         let span = tracer.build_with_context(builder, &cx);
         let context = TraceContext { span: Some(span.span_context().clone()) };
-        Hop { span: Some(span), context }
+        TraceSpan { span: Some(span), context }
     }
 
     /// The provider, to be shut down off the driver's thread, which posts its last export.
--- a/crates/ringbendd/src/callers/life.rs
+++ b/crates/ringbendd/src/callers/life.rs
@@ -14,7 +14,7 @@
 use ringbend_policy::{AttemptEnd, Dispatch, Event, RequestEnd, RequestProfile};
 use ringbend_runtime::{HttpResponse, unix_millis};
 use ringbend_settings::{Effective, NodePath};
-use ringbend_telemetry::{Hop, HopKind, Outcome};
+use ringbend_telemetry::{Outcome, TraceSpan, TraceSpanKind};
 use ringbend_types::{AttemptId, RequestId, RunState, ServiceName, Timestamp, TokenCount};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -50,7 +50,7 @@
     attempt: AttemptId,
     task: JoinHandle<()>,
     events: mpsc::Receiver<AttemptEvent>,
-    _hop: Hop,
+    _hop: TraceSpan,
 }
 
 impl Drop for Running {
@@ -80,8 +80,8 @@
     record: Option<BytesMut>,
     admitted: bool,
     dispatched: bool,
-    hop: Hop,
-    waiting: Option<Hop>,
+    hop: TraceSpan,
+    waiting: Option<TraceSpan>,
     _permit: BodyPermit,
 }
 
@@ -111,9 +111,9 @@
         signals: mpsc::UnboundedReceiver<Signal>,
     ) -> Self {
         let Call { req, headers, body, permit } = call;
-        let mut hop = app.tracing.hop("caller", HopKind::Server, &headers.trace);
-        hop.note("request", profile.id);
-        hop.note("account", &profile.account);
+        let mut hop = app.tracing.start_span("caller", TraceSpanKind::Server, &headers.trace);
+        hop.set_attribute("request", profile.id);
+        hop.set_attribute("account", &profile.account);
         let claim = headers.key.clone().map(|key| {
             let digest = digest(req.method().as_str(), req.path(), &body, &headers);
             (ClaimKey { account: headers.account.clone(), key }, digest)
@@ -222,10 +222,11 @@
     fn start_claim(&mut self) {
         let context = self.hop.context();
         let Some((key, digest)) = self.claim.clone() else {
-            self.waiting = Some(self.app.tracing.hop("queue", HopKind::Internal, context));
+            self.waiting =
+                Some(self.app.tracing.start_span("queue", TraceSpanKind::Internal, context));
             return;
         };
-        self.waiting = Some(self.app.tracing.hop("claim", HopKind::Internal, context));
+        self.waiting = Some(self.app.tracing.start_span("claim", TraceSpanKind::Internal, context));
         self.app.metrics.claim();
         let left = self.deadline.since(self.app.now());
         let until_unix_ms = unix_millis() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX / 2);
@@ -245,7 +246,7 @@
             return self.fail(Failure::NoClaim, side).await;
         }
         let context = self.hop.context();
-        self.waiting = Some(self.app.tracing.hop("queue", HopKind::Internal, context));
+        self.waiting = Some(self.app.tracing.start_span("queue", TraceSpanKind::Internal, context));
         self.app.decisions.decide(&self.app, Event::Claimed(self.id));
         false
     }
@@ -280,10 +281,10 @@
             return app.decisions.decide(app, Event::Ended { attempt, end });
         };
         self.dispatched = true;
-        let mut hop = app.tracing.hop("attempt", HopKind::Client, self.hop.context());
-        hop.note("attempt", attempt);
-        hop.note("endpoint", &dispatch.endpoint);
-        hop.note("number", dispatch.number);
+        let mut hop = app.tracing.start_span("attempt", TraceSpanKind::Client, self.hop.context());
+        hop.set_attribute("attempt", attempt);
+        hop.set_attribute("endpoint", &dispatch.endpoint);
+        hop.set_attribute("number", dispatch.number);
         log::debug!(
             request:% = self.id, attempt:% = attempt, endpoint:% = dispatch.endpoint; "dispatch"
         );
--- a/crates/ringbendd/src/instance.rs
+++ b/crates/ringbendd/src/instance.rs
@@ -176,7 +176,7 @@
 ) -> Result<(Tracing, Option<mpsc::Receiver<Export>>), Report<DaemonError>> {
     let Some(url) = &cfg.traces.otlp_url else { return Ok((Tracing::default(), None)) };
     let (tracing, exports) =
-        Tracing::exporting(url, cfg.instance.as_str()).change_context(DaemonError::Traces)?;
+        Tracing::with_exporter(url, cfg.instance.as_str()).change_context(DaemonError::Traces)?;
     Ok((tracing, Some(exports)))
 }
 
--- a/crates/ringbendd/src/main.rs
+++ b/crates/ringbendd/src/main.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use error_stack::{Report, ResultExt};
-use ringbend_telemetry::start_logs;
+use ringbend_telemetry::init_logging;
 use ringbendd::{DaemonConfig, DaemonError, Instance, StopReport};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -37,7 +37,7 @@
 
 async fn run(args: Args) -> Result<StopReport, Report<DaemonError>> {
     let (cfg, warnings) = DaemonConfig::read(&args.config)?;
-    start_logs(&cfg.log).change_context(DaemonError::Logs)?;
+    init_logging(&cfg.log).change_context(DaemonError::Logs)?;
     for warning in warnings {
         log::warn!("{warning}");
     }
--- a/crates/ringbendd/src/peers/mod.rs
+++ b/crates/ringbendd/src/peers/mod.rs
@@ -15,7 +15,7 @@
 };
 use ringbend_policy::{GrantRequest, ShareEvent};
 use ringbend_runtime::Subscription;
-use ringbend_telemetry::{HopKind, TraceContext};
+use ringbend_telemetry::{TraceContext, TraceSpanKind};
 use ringbend_types::{EndpointId, Incarnation, InstanceId, Seed, SettingsVersion, Timestamp};
 use ringbend_wire::{EntriesReply, EntriesRequest, Envelope, Gossip, WireError, envelope};
 
@@ -192,8 +192,9 @@
         let envelope = Envelope { body: Some(envelope::Body::GrantRequest(request.into())) };
         app.metrics.peer_bytes(ringbend_wire::Message::encoded_len(&envelope) as u64);
         let app = app.clone();
-        let mut hop = app.tracing.hop("peer", HopKind::Client, &TraceContext::default());
-        hop.note("peer", owner);
+        let mut hop =
+            app.tracing.start_span("peer", TraceSpanKind::Client, &TraceContext::default());
+        hop.set_attribute("peer", owner);
         tokio::task::spawn_local(async move {
             let _hop = hop;
             let Ok(Envelope { body: Some(envelope::Body::GrantReply(reply)) }) =
@@ -215,8 +216,9 @@
         after: SettingsVersion,
     ) -> Option<EntriesReply> {
         let link = self.link.borrow().clone()?;
-        let mut hop = app.tracing.hop("peer", HopKind::Client, &TraceContext::default());
-        hop.note("peer", peer);
+        let mut hop =
+            app.tracing.start_span("peer", TraceSpanKind::Client, &TraceContext::default());
+        hop.set_attribute("peer", peer);
         let request = EntriesRequest { after: after.0 };
         let envelope = Envelope { body: Some(envelope::Body::EntriesRequest(request)) };
         match link.ask(peer, envelope).await {
