--- a/crates/ringbend-platform/src/endpoint.rs
+++ b/crates/ringbend-platform/src/endpoint.rs
@@ -46,24 +46,24 @@
 
 /// The text is not one of the allowed words.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ParseEndpointWordError;
+pub struct ParseEndpointStateError;
 
-impl fmt::Display for ParseEndpointWordError {
+impl fmt::Display for ParseEndpointStateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "expected one of engine, service, live, leaving")
     }
 }
 
-impl std::error::Error for ParseEndpointWordError {}
+impl std::error::Error for ParseEndpointStateError {}
 
 impl FromStr for EndpointState {
-    type Err = ParseEndpointWordError;
+    type Err = ParseEndpointStateError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
             "live" => Ok(Self::Live),
             "leaving" => Ok(Self::Leaving),
-            _ => Err(ParseEndpointWordError),
+            _ => Err(ParseEndpointStateError),
         }
     }
 }
