--- a/crates/ringbend-bench/src/policies.rs
+++ b/crates/ringbend-bench/src/policies.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 use ringbend_policy::{Dispatcher, DispatcherConfig, NaivePolicy, Policy};
-use ringbend_settings::Effective;
+use ringbend_settings::EffectiveSettings;
 use ringbend_settings::configs::ChoiceKind;
 use ringbend_types::{Incarnation, InstanceId, Seed};
 
@@ -75,7 +75,7 @@
         }
     }
 
-    fn apply(self, settings: &mut Effective) {
+    fn apply(self, settings: &mut EffectiveSettings) {
         match self {
             Self::LongCap => settings.routing.long_per_engine = 1_000,
             Self::TwoChoices => settings.routing.choice = ChoiceKind::TwoChoices,
@@ -89,7 +89,7 @@
 
 impl PolicyKind {
     /// Changes a request's settings as this policy wants them.
-    pub fn apply(self, settings: &mut Effective) {
+    pub fn apply(self, settings: &mut EffectiveSettings) {
         if let Self::Without(part) = self {
             part.apply(settings);
         }
--- a/crates/ringbend-bench/src/world.rs
+++ b/crates/ringbend-bench/src/world.rs
@@ -15,7 +15,7 @@
 use ringbend_policy::{
     Action, Dispatch, Event, FailureCode, HeldMemory, Policy, RequestEnd, RequestProfile,
 };
-use ringbend_settings::Effective;
+use ringbend_settings::EffectiveSettings;
 use ringbend_types::{
     AttemptId, EndpointId, Incarnation, InstanceId, RequestId, RunState, Seed, Timestamp,
     TokenCount,
@@ -156,7 +156,7 @@
     attempts: BTreeMap<AttemptId, Attempt>,
     /// Attempts whose tokens their instance still takes.
     heard: BTreeMap<AttemptId, usize>,
-    settings: Vec<Arc<Effective>>,
+    settings: Vec<Arc<EffectiveSettings>>,
     next_request: u64,
     refusing: bool,
     cut: bool,
@@ -175,7 +175,7 @@
             leaves_at: None,
         });
         let settings = scenario.classes.iter().map(|class| {
-            let mut settings = Effective::default();
+            let mut settings = EffectiveSettings::default();
             settings.class.priority = class.priority;
             settings.timeouts.max_deadline_ms = 3_600_000;
             kind.apply(&mut settings);
--- a/crates/ringbend-policy/src/profile.rs
+++ b/crates/ringbend-policy/src/profile.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use ringbend_platform::EndpointKind;
-use ringbend_settings::Effective;
+use ringbend_settings::EffectiveSettings;
 use ringbend_types::{ClientAccountId, RequestId, ServiceName, Timestamp, TokenCount};
 
 /// One request, as the policy sees it: sizes and bounds, never content.
@@ -30,7 +30,7 @@
     /// Whether a claim must be granted before dispatch.
     pub needs_claim: bool,
     /// The settings in force for it.
-    pub settings: Arc<Effective>,
+    pub settings: Arc<EffectiveSettings>,
 }
 
 impl RequestProfile {
--- a/crates/ringbend-policy/tests/support/mod.rs
+++ b/crates/ringbend-policy/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use ringbend_policy::{
     Action, Dispatch, Dispatcher, DispatcherConfig, Event, Policy, RequestEnd, RequestProfile,
 };
-use ringbend_settings::Effective;
+use ringbend_settings::EffectiveSettings;
 use ringbend_types::{AttemptId, EndpointId, Incarnation, RequestId, Seed, Timestamp, TokenCount};
 
 pub(crate) fn seconds(n: u64) -> Timestamp {
@@ -46,12 +46,15 @@
         deadline: seconds(60),
         repeatable: true,
         needs_claim: false,
-        settings: Arc::new(Effective::default()),
+        settings: Arc::new(EffectiveSettings::default()),
     }
 }
 
-pub(crate) fn with_settings(id: u64, change: impl FnOnce(&mut Effective)) -> RequestProfile {
-    let mut settings = Effective::default();
+pub(crate) fn with_settings(
+    id: u64,
+    change: impl FnOnce(&mut EffectiveSettings),
+) -> RequestProfile {
+    let mut settings = EffectiveSettings::default();
     change(&mut settings);
     RequestProfile { settings: Arc::new(settings), ..request(id) }
 }
--- a/crates/ringbend-relay/src/config.rs
+++ b/crates/ringbend-relay/src/config.rs
@@ -7,7 +7,7 @@
 
 use error_stack::{Report, ResultExt};
 use ringbend_gateway::{BudgetBounds, GateBounds, PlacementWeights};
-use ringbend_settings::nearest;
+use ringbend_settings::closest_match;
 use ringbend_telemetry::LogConfig;
 use ringbend_types::{DataCentre, InstanceId};
 use serde::{Deserialize, Serialize};
@@ -243,7 +243,7 @@
 
 fn unknown_name(path: &str) -> String {
     let name = path.rsplit('.').next().unwrap_or(path);
-    match nearest(name, KNOWN_NAMES.into_iter()) {
+    match closest_match(name, KNOWN_NAMES.into_iter()) {
         Some(known) => format!("unknown setting {path:?}; did you mean {known:?}?"),
         None => format!("unknown setting {path:?}; see docs/SETTINGS.md"),
     }
--- a/crates/ringbend-settings/src/commit.rs
+++ b/crates/ringbend-settings/src/commit.rs
@@ -16,7 +16,7 @@
 use crate::tree::{Node, SettingsTree};
 
 /// Calls that may fail before the committer gives up.
-pub const MAX_COMMIT_TRIES: u32 = 8;
+pub const MAX_COMMIT_ATTEMPTS: u32 = 8;
 
 /// What the driver does next.
 #[derive(Debug, Clone, PartialEq)]
@@ -120,7 +120,7 @@
 
     fn read_again(&mut self) -> CommitStep {
         self.tries += 1;
-        if self.tries < MAX_COMMIT_TRIES {
+        if self.tries < MAX_COMMIT_ATTEMPTS {
             return CommitStep::Backoff { attempt: self.tries, call: self.read() };
         }
         CommitStep::Done(if self.maybe_applied {
--- a/crates/ringbend-settings/src/configs/mod.rs
+++ b/crates/ringbend-settings/src/configs/mod.rs
@@ -17,9 +17,9 @@
 use crate::effective::RangeError;
 
 /// Checks that a value lies in its range.
-fn in_range(key: &'static str, value: u64, least: u64, most: u64) -> Result<(), RangeError> {
-    if (least..=most).contains(&value) {
+fn in_range(key: &'static str, value: u64, min: u64, max: u64) -> Result<(), RangeError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(RangeError { key, value, least, most })
+    Err(RangeError { key, value, min, max })
 }
--- a/crates/ringbend-settings/src/effective.rs
+++ b/crates/ringbend-settings/src/effective.rs
@@ -15,7 +15,8 @@
 /// All settings in force at one node.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct Effective {
+#[schemars(rename = "Effective")]
+pub struct EffectiveSettings {
     /// Which requests are taken in.
     pub admission: AdmissionConfig,
     /// How urgent requests are.
@@ -30,7 +31,7 @@
     pub timeouts: TimeoutsConfig,
 }
 
-impl Effective {
+impl EffectiveSettings {
     /// Checks every feature's ranges.
     ///
     /// # Errors
@@ -55,7 +56,7 @@
 
 /// The JSON schema of the settings of a node.
 pub fn schema() -> schemars::Schema {
-    schemars::schema_for!(Effective)
+    schemars::schema_for!(EffectiveSettings)
 }
 
 /// A value outside its range.
@@ -65,16 +66,16 @@
     pub key: &'static str,
     /// The value given.
     pub value: u64,
-    /// The least value allowed.
-    pub least: u64,
-    /// The greatest value allowed.
-    pub most: u64,
+    /// The smallest value allowed.
+    pub min: u64,
+    /// The largest value allowed.
+    pub max: u64,
 }
 
 impl fmt::Display for RangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { key, value, least, most } = self;
-        write!(f, "{key} = {value}: allowed are {least} to {most}")
+        let Self { key, value, min, max } = self;
+        write!(f, "{key} = {value}: allowed are {min} to {max}")
     }
 }
 
--- a/crates/ringbend-settings/src/key.rs
+++ b/crates/ringbend-settings/src/key.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::effective::{Effective, RangeError};
+use crate::effective::{EffectiveSettings, RangeError};
 use crate::path::NodePath;
 
 /// A name must be at least this alike to be suggested (Jaro-Winkler, 0 to 1).
@@ -43,7 +43,7 @@
         if known_keys().iter().any(|key| key == text) {
             return Ok(Self(text.into()));
         }
-        let suggestion = nearest(text, known_keys().iter().map(String::as_str));
+        let suggestion = closest_match(text, known_keys().iter().map(String::as_str));
         Err(SettingsError::UnknownKey { key: text.into(), suggestion: suggestion.map(Arc::from) })
     }
 }
@@ -65,7 +65,7 @@
 /// Every key that exists, sorted.
 pub fn known_keys() -> &'static [String] {
     static KEYS: LazyLock<Vec<String>> = LazyLock::new(|| {
-        let defaults = serde_json::to_value(Effective::default()).unwrap_or(Value::Null);
+        let defaults = serde_json::to_value(EffectiveSettings::default()).unwrap_or(Value::Null);
         let mut keys = Vec::new();
         for (feature, settings) in defaults.as_object().into_iter().flatten() {
             for name in settings.as_object().into_iter().flat_map(|s| s.keys()) {
@@ -79,7 +79,7 @@
 }
 
 /// The name most like `text`, when one is alike enough.
-pub fn nearest<'a>(text: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+pub fn closest_match<'a>(text: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names
         .map(|name| (strsim::jaro_winkler(text, name), name))
         .filter(|(likeness, _)| *likeness >= SUGGEST_FROM)
--- a/crates/ringbend-settings/src/lib.rs
+++ b/crates/ringbend-settings/src/lib.rs
@@ -16,10 +16,10 @@
 mod tree;
 
 pub use change::{Change, Edit, LogEntry};
-pub use commit::{CommitOutcome, CommitStep, Committer, MAX_COMMIT_TRIES};
-pub use effective::{Effective, FEATURES, RangeError, schema};
-pub use key::{SettingKey, SettingsError, known_keys, nearest};
+pub use commit::{CommitOutcome, CommitStep, Committer, MAX_COMMIT_ATTEMPTS};
+pub use effective::{EffectiveSettings, FEATURES, RangeError, schema};
+pub use key::{SettingKey, SettingsError, closest_match, known_keys};
 pub use path::{NodePath, ParseNodePathError};
-pub use replica::{Applied, Replica, Snapshot};
+pub use replica::{ApplyOutcome, Replica, Snapshot};
 pub use sync::{SyncStep, Syncer};
 pub use tree::{DiffLine, Explanation, Node, SettingsTree};
--- a/crates/ringbend-settings/src/path.rs
+++ b/crates/ringbend-settings/src/path.rs
@@ -34,7 +34,7 @@
     }
 
     /// The nodes from the fleet down to this one.
-    pub fn lineage(&self) -> Vec<Self> {
+    pub fn path_from_root(&self) -> Vec<Self> {
         let mut nodes = vec![self.clone()];
         while let Some(parent) = nodes.last().and_then(Self::parent) {
             nodes.push(parent);
@@ -45,7 +45,7 @@
 
     /// Whether `other` is this node or below it.
     pub fn covers(&self, other: &Self) -> bool {
-        other.lineage().contains(self)
+        other.path_from_root().contains(self)
     }
 }
 
--- a/crates/ringbend-settings/src/replica.rs
+++ b/crates/ringbend-settings/src/replica.rs
@@ -13,11 +13,11 @@
 
 /// What came of applying a log entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The entry is now in force.
-    Yes,
+    Applied,
     /// The replica had it already.
-    Old,
+    AlreadyApplied,
     /// Entries before it are missing; read the log or a snapshot.
     Gap,
 }
@@ -55,12 +55,12 @@
     }
 
     /// Applies the next entry of the log.
-    pub fn apply(&mut self, entry: &LogEntry) -> Applied {
+    pub fn apply(&mut self, entry: &LogEntry) -> ApplyOutcome {
         if entry.version <= self.current.version {
-            return Applied::Old;
+            return ApplyOutcome::AlreadyApplied;
         }
         if entry.version > self.current.version.next() {
-            return Applied::Gap;
+            return ApplyOutcome::Gap;
         }
         self.current.tree.apply(entry);
         self.current.version = entry.version;
@@ -68,7 +68,7 @@
         if self.entries.len() > ENTRIES_KEPT {
             self.entries.pop_front();
         }
-        Applied::Yes
+        ApplyOutcome::Applied
     }
 
     /// Takes a snapshot when it is newer; returns whether it was.
--- a/crates/ringbend-settings/src/sync.rs
+++ b/crates/ringbend-settings/src/sync.rs
@@ -4,7 +4,7 @@
 use ringbend_platform::{Row, RowKey, TableReply, TableRequest};
 use ringbend_types::SettingsVersion;
 
-use crate::replica::{Applied, Replica, Snapshot};
+use crate::replica::{ApplyOutcome, Replica, Snapshot};
 use crate::rows;
 use crate::tree::SettingsTree;
 
@@ -78,7 +78,8 @@
     }
 
     fn on_log(&mut self, replica: &mut Replica, head: SettingsVersion, found: &[Row]) -> SyncStep {
-        let gap = found.iter().filter_map(rows::entry).any(|e| replica.apply(&e) == Applied::Gap);
+        let gap =
+            found.iter().filter_map(rows::entry).any(|e| replica.apply(&e) == ApplyOutcome::Gap);
         if replica.version() >= head {
             return SyncStep::UpToDate;
         }
--- a/crates/ringbend-settings/src/tree.rs
+++ b/crates/ringbend-settings/src/tree.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::change::{Change, Edit, LogEntry};
-use crate::effective::Effective;
+use crate::effective::EffectiveSettings;
 use crate::key::{SettingKey, SettingsError, known_keys};
 use crate::path::NodePath;
 
@@ -88,7 +88,7 @@
 
     /// The settings in force at `path`. Overrides were checked when they were accepted; one that
     /// no longer parses, after an upgrade, falls back to the default of its feature.
-    pub fn effective(&self, path: &NodePath) -> Effective {
+    pub fn effective(&self, path: &NodePath) -> EffectiveSettings {
         serde_json::from_value(self.merged(path)).unwrap_or_default()
     }
 
@@ -142,12 +142,12 @@
         let sets = |node: &NodePath| {
             self.nodes.get(node).is_some_and(|node| node.overrides.contains_key(key))
         };
-        path.lineage().into_iter().rfind(sets)
+        path.path_from_root().into_iter().rfind(sets)
     }
 
     fn merged(&self, path: &NodePath) -> Value {
-        let mut merged = serde_json::to_value(Effective::default()).unwrap_or(Value::Null);
-        for node in path.lineage().iter().filter_map(|path| self.nodes.get(path)) {
+        let mut merged = serde_json::to_value(EffectiveSettings::default()).unwrap_or(Value::Null);
+        for node in path.path_from_root().iter().filter_map(|path| self.nodes.get(path)) {
             for (key, value) in &node.overrides {
                 let (feature, name) = key.parts();
                 merged[feature][name] = value.clone();
@@ -161,9 +161,9 @@
 fn check_type(edit: &Edit) -> Result<(), SettingsError> {
     let Some(value) = &edit.value else { return Ok(()) };
     let (feature, name) = edit.key.parts();
-    let mut merged = serde_json::to_value(Effective::default()).unwrap_or(Value::Null);
+    let mut merged = serde_json::to_value(EffectiveSettings::default()).unwrap_or(Value::Null);
     merged[feature][name] = value.clone();
-    match serde_json::from_value::<Effective>(merged) {
+    match serde_json::from_value::<EffectiveSettings>(merged) {
         Ok(_) => Ok(()),
         Err(e) => Err(SettingsError::BadValue {
             path: edit.path.clone(),
--- a/crates/ringbend-settings/tests/commit.rs
+++ b/crates/ringbend-settings/tests/commit.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::{Gen, QuickCheck, TestResult};
 use ringbend_models::TableFaults;
-use ringbend_settings::{Applied, CommitOutcome, Replica};
+use ringbend_settings::{ApplyOutcome, CommitOutcome, Replica};
 use ringbend_types::SettingsVersion;
 use support::{commit, faulty, path, set, sync, table};
 
@@ -102,7 +102,7 @@
         let taken = if whole {
             replica.load(snapshots[at].clone())
         } else {
-            replica.apply(&entries[at]) == Applied::Yes
+            replica.apply(&entries[at]) == ApplyOutcome::Applied
         };
         if replica.version() < before || taken != (replica.version() > before) {
             return TestResult::failed();
--- a/crates/ringbend-settings/tests/pages.rs
+++ b/crates/ringbend-settings/tests/pages.rs
@@ -1,12 +1,12 @@
 //! The pages under `docs/features/` name every setting with its default.
 
-use ringbend_settings::{Effective, FEATURES};
+use ringbend_settings::{EffectiveSettings, FEATURES};
 use serde_json::Value;
 
 #[test]
 fn every_page_has_every_option_with_its_default() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/features");
-    let defaults = serde_json::to_value(Effective::default()).unwrap();
+    let defaults = serde_json::to_value(EffectiveSettings::default()).unwrap();
     for feature in FEATURES {
         let page = std::fs::read_to_string(root.join(format!("{feature}.md"))).unwrap();
         let options = defaults[feature].as_object().unwrap();
--- a/crates/ringbendd/src/callers/life.rs
+++ b/crates/ringbendd/src/callers/life.rs
@@ -13,7 +13,7 @@
 use ringbend_ledger::{ClaimEvent, ClaimKey, HeldBy};
 use ringbend_policy::{AttemptEnd, Dispatch, Event, RequestEnd, RequestProfile};
 use ringbend_runtime::{HttpResponse, unix_millis};
-use ringbend_settings::{Effective, NodePath};
+use ringbend_settings::{EffectiveSettings, NodePath};
 use ringbend_telemetry::{Outcome, TraceSpan, TraceSpanKind};
 use ringbend_types::{AttemptId, RequestId, RunState, ServiceName, Timestamp, TokenCount};
 use tokio::sync::{mpsc, oneshot};
@@ -86,7 +86,11 @@
 }
 
 /// The settings in force for a request.
-pub(crate) fn settings(app: &App, headers: &CallHeaders, service: &ServiceName) -> Arc<Effective> {
+pub(crate) fn settings(
+    app: &App,
+    headers: &CallHeaders,
+    service: &ServiceName,
+) -> Arc<EffectiveSettings> {
     let account = headers.account.clone();
     let path = match &headers.class {
         Some(class) => NodePath::Class(account, service.clone(), class.clone()),
@@ -96,7 +100,11 @@
 }
 
 /// When the answer must have ended.
-pub(crate) fn deadline(app: &App, headers: &CallHeaders, settings: &Effective) -> Timestamp {
+pub(crate) fn deadline(
+    app: &App,
+    headers: &CallHeaders,
+    settings: &EffectiveSettings,
+) -> Timestamp {
     let default = Duration::from_millis(settings.timeouts.deadline_ms);
     let most = Duration::from_millis(settings.timeouts.max_deadline_ms);
     app.now() + headers.deadline.unwrap_or(default).min(most)
--- a/crates/ringbendd/src/callers/prompt.rs
+++ b/crates/ringbendd/src/callers/prompt.rs
@@ -7,7 +7,7 @@
 use ringbend_platform::EndpointKind;
 use ringbend_policy::RequestProfile;
 use ringbend_runtime::HttpResponse;
-use ringbend_settings::Effective;
+use ringbend_settings::EffectiveSettings;
 use ringbend_types::{ServiceName, TokenCount};
 use serde_json::value::RawValue;
 use xxhash_rust::xxh3::xxh3_64;
@@ -95,7 +95,7 @@
     Life::new(app, call, profile, kind, signals).run().await
 }
 
-fn check_output(settings: &Effective, max_tokens: u64) -> Result<(), Failure> {
+fn check_output(settings: &EffectiveSettings, max_tokens: u64) -> Result<(), Failure> {
     let most = settings.admission.max_output_tokens;
     if max_tokens > most {
         return Err(Failure::FieldTooLarge { name: "max_tokens", most });
--- a/crates/ringbendd/src/config.rs
+++ b/crates/ringbendd/src/config.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use error_stack::{Report, ResultExt};
-use ringbend_settings::nearest;
+use ringbend_settings::closest_match;
 use ringbend_telemetry::LogConfig;
 use ringbend_types::{ClientAccountId, DataCentre, InstanceId};
 use serde::{Deserialize, Serialize};
@@ -217,7 +217,7 @@
 
 fn unknown_name(path: &str) -> String {
     let name = path.rsplit('.').next().unwrap_or(path);
-    match nearest(name, KNOWN_NAMES.into_iter()) {
+    match closest_match(name, KNOWN_NAMES.into_iter()) {
         Some(known) => format!("unknown setting {path:?}; did you mean {known:?}?"),
         None => format!("unknown setting {path:?}; see docs/SETTINGS.md"),
     }
--- a/crates/ringbendd/src/settings_sync.rs
+++ b/crates/ringbendd/src/settings_sync.rs
@@ -10,8 +10,8 @@
 use ringbend_policy::Backoff;
 use ringbend_settings::configs::RetriesConfig;
 use ringbend_settings::{
-    Change, CommitOutcome, CommitStep, Committer, Effective, NodePath, Replica, SettingsTree,
-    SyncStep, Syncer,
+    Change, CommitOutcome, CommitStep, Committer, EffectiveSettings, NodePath, Replica,
+    SettingsTree, SyncStep, Syncer,
 };
 use ringbend_types::{SettingsVersion, Timestamp};
 use ringbend_wire::EntriesReply;
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub(crate) struct SettingsSync {
     replica: RefCell<Replica>,
-    effective: RefCell<BTreeMap<NodePath, Arc<Effective>>>,
+    effective: RefCell<BTreeMap<NodePath, Arc<EffectiveSettings>>>,
     known: Cell<bool>,
     confirmed: Cell<Timestamp>,
     fetching: Cell<bool>,
@@ -52,7 +52,7 @@
     }
 
     /// The settings in force at a node.
-    pub(crate) fn effective(&self, path: &NodePath) -> Arc<Effective> {
+    pub(crate) fn effective(&self, path: &NodePath) -> Arc<EffectiveSettings> {
         if let Some(effective) = self.effective.borrow().get(path) {
             return effective.clone();
         }
