--- a/crates/ringbend-bench/src/gossip.rs
+++ b/crates/ringbend-bench/src/gossip.rs
@@ -132,7 +132,7 @@
         endpoint_leaving_known_s,
         false_deaths_joining,
         false_deaths: net.false_deaths,
-        refuted: net.nodes.iter().map(Membership::false_alarms).sum(),
+        refuted: net.nodes.iter().map(Membership::refuted_suspicions).sum(),
     }
 }
 
--- a/crates/ringbend-membership/src/lib.rs
+++ b/crates/ringbend-membership/src/lib.rs
@@ -4,14 +4,14 @@
 //! notices of leaving endpoints. Suspicion comes before death, and an instance refutes a suspicion
 //! by raising its incarnation. Membership steers load and speeds things up; no promise rests on it.
 
+mod broadcasts;
 mod config;
 mod member;
 mod membership;
 mod message;
 mod ring;
-mod rumours;
 
 pub use config::MembershipConfig;
 pub use member::{Member, MemberState};
 pub use membership::{Action, Event, Membership};
-pub use message::{Kind, Message, Update};
+pub use message::{Message, MessageKind, Update};
--- a/crates/ringbend-membership/src/membership.rs
+++ b/crates/ringbend-membership/src/membership.rs
@@ -7,11 +7,11 @@
 use rand_chacha::ChaCha8Rng;
 use ringbend_types::{EndpointId, Incarnation, InstanceId, Seed, SettingsVersion, Timestamp};
 
+use crate::broadcasts::BroadcastQueue;
 use crate::config::MembershipConfig;
 use crate::member::{Member, MemberState};
-use crate::message::{Kind, Message, Update};
+use crate::message::{Message, MessageKind, Update};
 use crate::ring::Ring;
-use crate::rumours::Rumours;
 
 /// Random stream of membership within a process.
 const RANDOM_STREAM: u64 = 2;
@@ -57,10 +57,10 @@
 
 /// A ping made for another instance.
 #[derive(Debug, Clone)]
-struct Errand {
+struct RelayedProbe {
     sequence: u64,
-    asker: SocketAddr,
-    asker_sequence: u64,
+    requester: SocketAddr,
+    requester_sequence: u64,
     sent: Timestamp,
 }
 
@@ -76,15 +76,15 @@
     seeds: Vec<SocketAddr>,
     members: BTreeMap<InstanceId, Member>,
     ring: Ring,
-    rumours: Rumours,
+    broadcasts: BroadcastQueue,
     rng: ChaCha8Rng,
     sequence: u64,
     round: Vec<InstanceId>,
     probe: Option<Probe>,
-    errands: Vec<Errand>,
+    relayed_probes: Vec<RelayedProbe>,
     next_probe: Timestamp,
     last_tick: Option<Timestamp>,
-    false_alarms: u64,
+    refuted_suspicions: u64,
 }
 
 impl Membership {
@@ -107,15 +107,15 @@
             seeds,
             members: BTreeMap::new(),
             ring: Ring::default(),
-            rumours: Rumours::default(),
+            broadcasts: BroadcastQueue::default(),
             rng: seed.rng(RANDOM_STREAM),
             sequence: 0,
             round: Vec::new(),
             probe: None,
-            errands: Vec::new(),
+            relayed_probes: Vec::new(),
             next_probe: Timestamp::default(),
             last_tick: None,
-            false_alarms: 0,
+            refuted_suspicions: 0,
         }
     }
 
@@ -130,8 +130,8 @@
     }
 
     /// How often this instance had to refute its own suspicion.
-    pub fn false_alarms(&self) -> u64 {
-        self.false_alarms
+    pub fn refuted_suspicions(&self) -> u64 {
+        self.refuted_suspicions
     }
 
     /// When [`Event::Tick`] is wanted next.
@@ -148,31 +148,31 @@
             Event::Received(message) => self.receive(now, message, &mut actions),
             Event::Settings(version) => self.settings_in_force(version, &mut actions),
             Event::EndpointLeaving(id) => {
-                self.rumours.add(Update::EndpointLeaving(id), true);
-                self.push(self.cfg.eager_fanout, &mut actions);
+                self.broadcasts.add(Update::EndpointLeaving(id), true);
+                self.push(self.cfg.push_fanout, &mut actions);
             }
             Event::Leave => {
                 self.state = MemberState::Leaving;
-                self.rumours.add(self.own_update(), true);
-                self.push(self.cfg.eager_fanout, &mut actions);
+                self.broadcasts.add(self.own_update(), true);
+                self.push(self.cfg.push_fanout, &mut actions);
             }
         }
         actions
     }
 
     fn tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        self.notice_own_pause(now);
+        self.detect_own_pause(now);
         self.check_probe(now, actions);
-        self.bury(now, actions);
+        self.expire_members(now, actions);
         if now >= self.next_probe {
-            self.next_probe = now + self.cfg.probe_every;
+            self.next_probe = now + self.cfg.probe_interval;
             self.start_probe(now, actions);
         }
     }
 
     /// After a pause of this instance, unanswered probes say nothing about the others.
-    fn notice_own_pause(&mut self, now: Timestamp) {
-        let late = self.last_tick.is_some_and(|last| now.since(last) > self.cfg.own_pause);
+    fn detect_own_pause(&mut self, now: Timestamp) {
+        let late = self.last_tick.is_some_and(|last| now.since(last) > self.cfg.pause_threshold);
         self.last_tick = Some(now);
         if late {
             self.probe = None;
@@ -190,19 +190,19 @@
         }
         if waited >= self.cfg.ack_timeout && !probe.indirect {
             probe.indirect = true;
-            self.ask_others(&probe, actions);
+            self.send_indirect_probes(&probe, actions);
         }
         self.probe = Some(probe);
     }
 
-    fn ask_others(&mut self, probe: &Probe, actions: &mut Vec<Action>) {
+    fn send_indirect_probes(&mut self, probe: &Probe, actions: &mut Vec<Action>) {
         let mut candidates = self.partners();
         candidates.retain(|id| *id != probe.target);
         let helpers =
             candidates.into_iter().choose_multiple(&mut self.rng, self.cfg.indirect_probes);
         for helper in helpers {
             let Some(address) = self.members.get(&helper).map(|m| m.address) else { continue };
-            let kind = Kind::PingRequest { target: probe.target.clone() };
+            let kind = MessageKind::PingRequest { target: probe.target.clone() };
             let message = self.message(kind, probe.sequence);
             actions.push(Action::Send(address, message));
         }
@@ -214,22 +214,23 @@
             let (address, incarnation) = (member.address, member.incarnation);
             let state = MemberState::Suspect;
             let id = target.clone();
-            self.learn(now, Update::Member { id, address, incarnation, state }, actions);
+            self.apply_update(now, Update::Member { id, address, incarnation, state }, actions);
         }
     }
 
-    fn bury(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let suspicion = self.cfg.suspicion;
+    fn expire_members(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let timeout = self.cfg.suspicion_timeout;
         let expired =
-            |m: &&Member| m.state == MemberState::Suspect && now.since(m.since) >= suspicion;
+            |m: &&Member| m.state == MemberState::Suspect && now.since(m.since) >= timeout;
         let dead: Vec<Member> = self.members.values().filter(expired).cloned().collect();
         for Member { id, address, incarnation, .. } in dead {
             let state = MemberState::Dead;
-            self.learn(now, Update::Member { id, address, incarnation, state }, actions);
+            self.apply_update(now, Update::Member { id, address, incarnation, state }, actions);
         }
-        let forget_after = self.cfg.forget_after;
-        self.members
-            .retain(|_, m| m.state < MemberState::Leaving || now.since(m.since) < forget_after);
+        let tombstone_retention = self.cfg.tombstone_retention;
+        self.members.retain(|_, m| {
+            m.state < MemberState::Leaving || now.since(m.since) < tombstone_retention
+        });
     }
 
     fn start_probe(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
@@ -243,24 +244,24 @@
         self.sequence += 1;
         let sequence = self.sequence;
         let address = self.members[&target].address;
-        let suspected = self.suspected(&target);
+        let suspected = self.suspicion_update(&target);
         self.probe = Some(Probe { target, sequence, sent: now, indirect: false });
-        let mut message = self.message(Kind::Ping, sequence);
+        let mut message = self.message(MessageKind::Ping, sequence);
         message.updates.extend(suspected);
         actions.push(Action::Send(address, message));
     }
 
     /// What a suspect is told with each ping, so that it hears of the suspicion and refutes it.
-    fn suspected(&self, target: &InstanceId) -> Option<Update> {
+    fn suspicion_update(&self, target: &InstanceId) -> Option<Update> {
         let member = self.members.get(target)?;
-        (member.state == MemberState::Suspect).then(|| as_update(member))
+        (member.state == MemberState::Suspect).then(|| member_update(member))
     }
 
     fn join(&mut self, actions: &mut Vec<Action>) {
         let own = self.address;
         let seeds: Vec<SocketAddr> = self.seeds.iter().copied().filter(|s| *s != own).collect();
         for address in seeds {
-            let message = self.message(Kind::Join, 0);
+            let message = self.message(MessageKind::Join, 0);
             actions.push(Action::Send(address, message));
         }
     }
@@ -297,71 +298,76 @@
             incarnation,
             state: MemberState::Alive,
         };
-        self.learn(now, sender, actions);
+        self.apply_update(now, sender, actions);
         for update in updates {
-            self.learn(now, update, actions);
+            self.apply_update(now, update, actions);
         }
         if settings > self.settings {
             actions.push(Action::NewerSettings(from.clone(), settings));
         }
         match kind {
-            Kind::Ping => {
-                let ack = self.message(Kind::Ack, sequence);
+            MessageKind::Ping => {
+                let ack = self.message(MessageKind::Ack, sequence);
                 actions.push(Action::Send(from_address, ack));
             }
-            Kind::Ack => self.acknowledged(sequence, actions),
-            Kind::PingRequest { target } => {
-                self.run_errand(now, &target, from_address, sequence, actions);
+            MessageKind::Ack => self.handle_ack(sequence, actions),
+            MessageKind::PingRequest { target } => {
+                self.relay_probe(now, &target, from_address, sequence, actions);
             }
-            Kind::Join => self.send_members(from_address, actions),
-            Kind::News => {}
+            MessageKind::Join => self.send_members(from_address, actions),
+            MessageKind::News => {}
         }
     }
 
-    fn acknowledged(&mut self, sequence: u64, actions: &mut Vec<Action>) {
+    fn handle_ack(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         if self.probe.as_ref().is_some_and(|p| p.sequence == sequence) {
             self.probe = None;
         }
-        if let Some(at) = self.errands.iter().position(|e| e.sequence == sequence) {
-            let errand = self.errands.swap_remove(at);
-            let ack = self.message(Kind::Ack, errand.asker_sequence);
-            actions.push(Action::Send(errand.asker, ack));
+        if let Some(at) = self.relayed_probes.iter().position(|e| e.sequence == sequence) {
+            let probe = self.relayed_probes.swap_remove(at);
+            let ack = self.message(MessageKind::Ack, probe.requester_sequence);
+            actions.push(Action::Send(probe.requester, ack));
         }
     }
 
-    fn run_errand(
+    fn relay_probe(
         &mut self,
         now: Timestamp,
         target: &InstanceId,
-        asker: SocketAddr,
-        asker_sequence: u64,
+        requester: SocketAddr,
+        requester_sequence: u64,
         actions: &mut Vec<Action>,
     ) {
         let Some(address) = self.members.get(target).map(|m| m.address) else { return };
         let timeout = self.cfg.ack_timeout * 3;
-        self.errands.retain(|e| now.since(e.sent) < timeout);
+        self.relayed_probes.retain(|e| now.since(e.sent) < timeout);
         self.sequence += 1;
         let sequence = self.sequence;
-        self.errands.push(Errand { sequence, asker, asker_sequence, sent: now });
-        let ping = self.message(Kind::Ping, sequence);
+        self.relayed_probes.push(RelayedProbe {
+            sequence,
+            requester,
+            requester_sequence,
+            sent: now,
+        });
+        let ping = self.message(MessageKind::Ping, sequence);
         actions.push(Action::Send(address, ping));
     }
 
     fn send_members(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
-        let updates: Vec<Update> = self.members.values().map(as_update).collect();
+        let updates: Vec<Update> = self.members.values().map(member_update).collect();
         for page in updates.chunks(JOIN_PAGE) {
-            let mut message = self.message(Kind::News, 0);
+            let mut message = self.message(MessageKind::News, 0);
             message.updates = page.to_vec();
             actions.push(Action::Send(to, message));
         }
         if self.members.is_empty() {
-            let message = self.message(Kind::News, 0);
+            let message = self.message(MessageKind::News, 0);
             actions.push(Action::Send(to, message));
         }
     }
 
     /// Takes news in, and spreads it on when it is new here.
-    fn learn(&mut self, now: Timestamp, update: Update, actions: &mut Vec<Action>) {
+    fn apply_update(&mut self, now: Timestamp, update: Update, actions: &mut Vec<Action>) {
         match &update {
             Update::EndpointLeaving(id) => {
                 // The driver reports back only what it did not know, which then spreads.
@@ -391,7 +397,7 @@
                 self.members.insert(id.clone(), member.clone());
                 self.ring.changed();
                 actions.push(Action::Changed(member));
-                self.rumours.add(update, cleared || member_state > MemberState::Alive);
+                self.broadcasts.add(update, cleared || member_state > MemberState::Alive);
                 if cleared {
                     // A refutation has to outrun the suspicion.
                     self.push(self.cfg.refutation_fanout, actions);
@@ -405,10 +411,10 @@
         if state == MemberState::Alive || !about_now || self.state == MemberState::Leaving {
             return;
         }
-        self.false_alarms += 1;
+        self.refuted_suspicions += 1;
         self.incarnation = incarnation.next();
-        self.rumours.add(self.own_update(), true);
-        self.push(self.cfg.eager_fanout, actions);
+        self.broadcasts.add(self.own_update(), true);
+        self.push(self.cfg.push_fanout, actions);
     }
 
     /// Newer settings are pushed on as soon as they are in force here, so that they reach all in
@@ -416,7 +422,7 @@
     fn settings_in_force(&mut self, version: SettingsVersion, actions: &mut Vec<Action>) {
         if version > self.settings {
             self.settings = version;
-            self.push(self.cfg.eager_fanout, actions);
+            self.push(self.cfg.push_fanout, actions);
         }
     }
 
@@ -425,7 +431,7 @@
         let told = self.partners().into_iter().choose_multiple(&mut self.rng, fanout);
         for id in told {
             let Some(address) = self.members.get(&id).map(|m| m.address) else { continue };
-            let message = self.message(Kind::News, 0);
+            let message = self.message(MessageKind::News, 0);
             actions.push(Action::Send(address, message));
         }
     }
@@ -439,10 +445,10 @@
         }
     }
 
-    fn message(&mut self, kind: Kind, sequence: u64) -> Message {
+    fn message(&mut self, kind: MessageKind, sequence: u64) -> Message {
         let members = self.members.len() as u32 + 2;
-        let transmissions = self.cfg.transmit_factor * (u32::BITS - members.leading_zeros());
-        let mut updates = self.rumours.take(self.cfg.updates_per_message, transmissions);
+        let transmissions = self.cfg.retransmit_multiplier * (u32::BITS - members.leading_zeros());
+        let mut updates = self.broadcasts.take(self.cfg.max_updates_per_message, transmissions);
         if self.state == MemberState::Leaving {
             updates.push(self.own_update());
         }
@@ -458,7 +464,7 @@
     }
 }
 
-fn as_update(member: &Member) -> Update {
+fn member_update(member: &Member) -> Update {
     Update::Member {
         id: member.id.clone(),
         address: member.address,
--- a/crates/ringbend-membership/src/message.rs
+++ b/crates/ringbend-membership/src/message.rs
@@ -26,7 +26,7 @@
 
 /// Why a message is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// Are you there?
     Ping,
     /// Yes, to the ping of this sequence number.
@@ -54,7 +54,7 @@
     /// Ties an ack to its ping.
     pub sequence: u64,
     /// Why it is sent.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The settings version in force at the sender.
     pub settings: SettingsVersion,
     /// News.
--- a/crates/ringbend-membership/src/ring.rs
+++ b/crates/ringbend-membership/src/ring.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Among up to this many others, all are partners.
-const FEW: usize = 12;
+const MAX_FULL_MESH: usize = 12;
 
 /// The ring of all live instances, as one of them sees it.
 #[derive(Debug, Clone, Default)]
@@ -38,7 +38,7 @@
 }
 
 fn choose(own: &InstanceId, others: Vec<InstanceId>) -> Vec<InstanceId> {
-    if others.len() <= FEW {
+    if others.len() <= MAX_FULL_MESH {
         return others;
     }
     let place = |id: &InstanceId| (xxh3_64(id.as_str().as_bytes()), id.clone());
--- a/crates/ringbend-membership/tests/gossip.rs
+++ b/crates/ringbend-membership/tests/gossip.rs
@@ -99,7 +99,7 @@
     for at in 0..3 {
         assert_eq!(net.state(at, 3), Some(MemberState::Alive), "seen by {at}");
     }
-    assert!(net.nodes[3].false_alarms() > 0);
+    assert!(net.nodes[3].refuted_suspicions() > 0);
 }
 
 #[test]
@@ -112,7 +112,7 @@
         from_address: address(1),
         incarnation: Incarnation(10),
         sequence: 0,
-        kind: ringbend_membership::Kind::News,
+        kind: ringbend_membership::MessageKind::News,
         settings: SettingsVersion(0),
         updates: vec![Update::Member {
             id: id(2),
@@ -173,7 +173,7 @@
     let mut net = Net::joined(40);
     net.seen.clear();
     net.run(Duration::from_secs(5));
-    let most = MembershipConfig::default().updates_per_message + 2;
+    let most = MembershipConfig::default().max_updates_per_message + 2;
     for action in &net.seen {
         if let Action::Send(_, message) = action {
             assert!(message.updates.len() <= most, "{} updates", message.updates.len());
--- a/crates/ringbend-wire/src/convert.rs
+++ b/crates/ringbend-wire/src/convert.rs
@@ -133,13 +133,13 @@
 impl From<&gossip::Message> for wire::Gossip {
     fn from(message: &gossip::Message) -> Self {
         let (kind, target) = match &message.kind {
-            gossip::Kind::Ping => (wire::GossipKind::Ping, String::new()),
-            gossip::Kind::Ack => (wire::GossipKind::Ack, String::new()),
-            gossip::Kind::PingRequest { target } => {
+            gossip::MessageKind::Ping => (wire::GossipKind::Ping, String::new()),
+            gossip::MessageKind::Ack => (wire::GossipKind::Ack, String::new()),
+            gossip::MessageKind::PingRequest { target } => {
                 (wire::GossipKind::PingRequest, target.to_string())
             }
-            gossip::Kind::Join => (wire::GossipKind::Join, String::new()),
-            gossip::Kind::News => (wire::GossipKind::News, String::new()),
+            gossip::MessageKind::Join => (wire::GossipKind::Join, String::new()),
+            gossip::MessageKind::News => (wire::GossipKind::News, String::new()),
         };
         Self {
             from: message.from.to_string(),
@@ -161,13 +161,13 @@
         let kind = wire::GossipKind::try_from(message.kind)
             .map_err(|e| WireError::UnknownEnumValue(e.0))?;
         let kind = match kind {
-            wire::GossipKind::Ping => gossip::Kind::Ping,
-            wire::GossipKind::Ack => gossip::Kind::Ack,
+            wire::GossipKind::Ping => gossip::MessageKind::Ping,
+            wire::GossipKind::Ack => gossip::MessageKind::Ack,
             wire::GossipKind::PingRequest => {
-                gossip::Kind::PingRequest { target: message.target.parse()? }
+                gossip::MessageKind::PingRequest { target: message.target.parse()? }
             }
-            wire::GossipKind::Join => gossip::Kind::Join,
-            wire::GossipKind::News => gossip::Kind::News,
+            wire::GossipKind::Join => gossip::MessageKind::Join,
+            wire::GossipKind::News => gossip::MessageKind::News,
         };
         // News of a kind that this release does not know is left out.
         let updates = message.updates.into_iter().filter(|u| u.news.is_some());
--- a/crates/ringbend-wire/tests/messages.rs
+++ b/crates/ringbend-wire/tests/messages.rs
@@ -12,7 +12,7 @@
         from_address: "10.0.0.1:7000".parse().unwrap(),
         incarnation: Incarnation(7),
         sequence: 3,
-        kind: gossip::Kind::PingRequest { target: "instance-2".parse().unwrap() },
+        kind: gossip::MessageKind::PingRequest { target: "instance-2".parse().unwrap() },
         settings: SettingsVersion(9),
         updates,
     }
