--- a/crates/ringbend-ledger/src/claim.rs
+++ b/crates/ringbend-ledger/src/claim.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Answers up to this size are kept in the claim row; larger ones go to the object store.
-pub const INLINE_ANSWER_BYTES: usize = 32 * 1024;
+pub const MAX_INLINE_ANSWER_BYTES: usize = 32 * 1024;
 
 /// Names a claim: the account and the caller's own key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -75,29 +75,29 @@
 
 /// What a second arrival hears.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HeldBy {
+pub enum ExistingClaim {
     /// The first is still within its time.
     InProgress,
     /// The first ran; here is its answer.
-    Answer(StoredAnswer),
+    Answered(StoredAnswer),
     /// The first may have run.
     MayHaveRun,
     /// The key belongs to a different request.
-    OtherRequest,
+    DifferentRequest,
 }
 
 impl Claim {
     /// What a later arrival with `digest` hears at `now_unix_ms`.
-    pub fn for_second(&self, digest: u64, now_unix_ms: u64) -> HeldBy {
+    pub fn status_for(&self, digest: u64, now_unix_ms: u64) -> ExistingClaim {
         if self.digest != digest {
-            return HeldBy::OtherRequest;
+            return ExistingClaim::DifferentRequest;
         }
         match &self.state {
-            ClaimState::Done(answer) => HeldBy::Answer(answer.clone()),
+            ClaimState::Done(answer) => ExistingClaim::Answered(answer.clone()),
             ClaimState::Claimed { until_unix_ms } if now_unix_ms <= *until_unix_ms => {
-                HeldBy::InProgress
+                ExistingClaim::InProgress
             }
-            ClaimState::Claimed { .. } | ClaimState::MayHaveRun => HeldBy::MayHaveRun,
+            ClaimState::Claimed { .. } | ClaimState::MayHaveRun => ExistingClaim::MayHaveRun,
         }
     }
 }
--- a/crates/ringbend-ledger/src/claim_batcher.rs
+++ b/crates/ringbend-ledger/src/claim_batcher.rs
@@ -11,23 +11,23 @@
 use ringbend_platform::{Condition, Row, RowKey, TableError, TableReply, TableRequest, Write};
 use ringbend_types::{RequestId, Timestamp};
 
-use crate::claim::{Claim, ClaimKey, ClaimState, HeldBy, StoredAnswer};
+use crate::claim::{Claim, ClaimKey, ClaimState, ExistingClaim, StoredAnswer};
 
 /// Bounds of the batcher.
 #[derive(Debug, Clone)]
 pub struct ClaimBatcherConfig {
     /// Most rows in one commit.
-    pub batch_rows: usize,
+    pub max_batch_rows: usize,
     /// Most commits under way at once.
-    pub calls_in_flight: usize,
+    pub max_calls_in_flight: usize,
     /// Most claims waiting; more are refused.
     pub max_waiting: usize,
     /// Tries before a claim is given up.
-    pub claim_tries: u32,
+    pub max_claim_attempts: u32,
     /// Tries before a settlement is given up; later arrivals then hear "may have run".
-    pub settle_tries: u32,
+    pub max_settle_attempts: u32,
     /// Wait after a failed call.
-    pub retry_after: Duration,
+    pub retry_delay: Duration,
     /// How long rows are kept.
     pub row_ttl: Duration,
 }
@@ -35,12 +35,12 @@
 impl Default for ClaimBatcherConfig {
     fn default() -> Self {
         Self {
-            batch_rows: 50,
-            calls_in_flight: 2,
+            max_batch_rows: 50,
+            max_calls_in_flight: 2,
             max_waiting: 10_000,
-            claim_tries: 4,
-            settle_tries: 200,
-            retry_after: Duration::from_millis(100),
+            max_claim_attempts: 4,
+            max_settle_attempts: 200,
+            retry_delay: Duration::from_millis(100),
             row_ttl: Duration::from_secs(24 * 3600),
         }
     }
@@ -75,7 +75,7 @@
         /// The request's deadline on the wall clock.
         until_unix_ms: u64,
         /// After this the claim is given up.
-        give_up: Timestamp,
+        abandon_at: Timestamp,
     },
     /// A granted request ended.
     Settle {
@@ -103,9 +103,9 @@
     /// The request may be dispatched, after one more look at its deadline.
     Granted(RequestId),
     /// Another request holds the key.
-    Held(RequestId, HeldBy),
+    AlreadyClaimed(RequestId, ExistingClaim),
     /// No claim could be made; the request was not run and must not be.
-    GivenUp(RequestId),
+    Abandoned(RequestId),
 }
 
 #[derive(Debug, Clone)]
@@ -113,7 +113,7 @@
     holder: RequestId,
     key: ClaimKey,
     claim: Claim,
-    give_up: Timestamp,
+    abandon_at: Timestamp,
     tries: u32,
     /// Some commit of this claim has an unknown outcome.
     maybe_written: bool,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes an event. `now_unix_ms` is the wall clock, used only to word [`HeldBy`].
+    /// Takes an event. `now_unix_ms` is the wall clock, used only to word [`ExistingClaim`].
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -176,14 +176,14 @@
     ) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         match event {
-            ClaimEvent::Claim { holder, key, digest, until_unix_ms, give_up } => {
+            ClaimEvent::Claim { holder, key, digest, until_unix_ms, abandon_at } => {
                 if self.waiting.len() >= self.cfg.max_waiting {
-                    return vec![ClaimAction::GivenUp(holder)];
+                    return vec![ClaimAction::Abandoned(holder)];
                 }
                 let state = ClaimState::Claimed { until_unix_ms };
                 let claim = Claim { holder, digest, state };
                 let maybe_written = false;
-                let pending = Pending { holder, key, claim, give_up, tries: 0, maybe_written };
+                let pending = Pending { holder, key, claim, abandon_at, tries: 0, maybe_written };
                 self.waiting.push_back(pending);
             }
             ClaimEvent::Settle { holder, settlement } => self.settle(holder, settlement),
@@ -194,7 +194,7 @@
             }
             ClaimEvent::Tick => {}
         }
-        self.give_up_late(now, &mut actions);
+        self.abandon_expired(now, &mut actions);
         self.start_calls(now, &mut actions);
         actions
     }
@@ -202,11 +202,11 @@
     /// When [`ClaimEvent::Tick`] is wanted next.
     pub fn next_wakeup(&self) -> Timestamp {
         let queued = self.waiting.iter().chain(&self.uncertain);
-        let give_up = queued.map(|p| p.give_up).min().unwrap_or(Timestamp::NEVER);
-        if self.has_work() && self.calls.len() < self.cfg.calls_in_flight {
-            return give_up.min(self.pause_until);
+        let abandon_at = queued.map(|p| p.abandon_at).min().unwrap_or(Timestamp::NEVER);
+        if self.has_work() && self.calls.len() < self.cfg.max_calls_in_flight {
+            return abandon_at.min(self.pause_until);
         }
-        give_up
+        abandon_at
     }
 
     /// Claims and settlements that are not yet over; a graceful shutdown waits for zero.
@@ -234,16 +234,16 @@
         queue.push_back(settling);
     }
 
-    fn give_up_late(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
-        let mut late = take_late(&mut self.waiting, now);
-        late.extend(take_late(&mut self.uncertain, now));
+    fn abandon_expired(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
+        let mut late = take_expired(&mut self.waiting, now);
+        late.extend(take_expired(&mut self.uncertain, now));
         for pending in late {
             self.abandon(pending, actions);
         }
     }
 
     fn start_calls(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
-        while now >= self.pause_until && self.calls.len() < self.cfg.calls_in_flight {
+        while now >= self.pause_until && self.calls.len() < self.cfg.max_calls_in_flight {
             let Some((call, request)) = self.next_call() else { return };
             self.next_call += 1;
             let id = CallId(self.next_call);
@@ -253,14 +253,14 @@
     }
 
     fn next_call(&mut self) -> Option<(Call, TableRequest)> {
-        let most = self.cfg.batch_rows;
+        let most = self.cfg.max_batch_rows;
         if !self.uncertain.is_empty() {
             let batch = take(&mut self.uncertain, most);
             let keys = batch.iter().map(|p| p.key.row()).collect();
             return Some((Call::ReadBack(batch), TableRequest::Read { keys }));
         }
         if !self.waiting.is_empty() {
-            let batch = self.take_distinct(most);
+            let batch = self.take_distinct_keys(most);
             let request = self.claim_request(&batch);
             return Some((Call::Claim(batch), request));
         }
@@ -279,7 +279,7 @@
     }
 
     /// The next claims, no key twice: of two with one key, the second waits for the next batch.
-    fn take_distinct(&mut self, most: usize) -> Vec<Pending> {
+    fn take_distinct_keys(&mut self, most: usize) -> Vec<Pending> {
         let mut batch: Vec<Pending> = Vec::new();
         let mut rest = VecDeque::new();
         while let Some(pending) = self.waiting.pop_front() {
@@ -315,7 +315,7 @@
         actions: &mut Vec<ClaimAction>,
     ) {
         if reply.is_err() {
-            self.pause_until = now + self.cfg.retry_after;
+            self.pause_until = now + self.cfg.retry_delay;
         }
         match (call, reply) {
             (Call::Claim(batch), Ok(TableReply::Committed)) => {
@@ -330,9 +330,9 @@
                 }
             }
             (Call::Claim(batch) | Call::ReadBack(batch), Err(TableError::OutcomeUnknown)) => {
-                self.try_again(batch, true, actions);
+                self.retry_claims(batch, true, actions);
             }
-            (Call::Claim(batch), _) => self.try_again(batch, false, actions),
+            (Call::Claim(batch), _) => self.retry_claims(batch, false, actions),
             (Call::ReadBack(batch), Ok(TableReply::Rows(rows))) => {
                 for pending in batch {
                     match claim_in(&rows, &pending.key.row()) {
@@ -342,13 +342,13 @@
                     }
                 }
             }
-            (Call::ReadBack(batch), _) => self.try_again(batch, true, actions),
+            (Call::ReadBack(batch), _) => self.retry_claims(batch, true, actions),
             (Call::Settle(_) | Call::Free(_), Ok(TableReply::Committed)) => {}
-            (Call::Settle(batch), _) => self.settle_again(batch),
+            (Call::Settle(batch), _) => self.retry_settlements(batch),
             (Call::ReadToFree(batch), Ok(TableReply::Rows(rows))) => {
                 self.free(batch, &rows, actions);
             }
-            (Call::ReadToFree(batch) | Call::Free(batch), _) => self.settle_again(batch),
+            (Call::ReadToFree(batch) | Call::Free(batch), _) => self.retry_settlements(batch),
         }
     }
 
@@ -367,15 +367,20 @@
         if held.holder == pending.holder {
             return self.grant(pending, actions);
         }
-        let word = held.for_second(pending.claim.digest, now_unix_ms);
-        actions.push(ClaimAction::Held(pending.holder, word));
+        let word = held.status_for(pending.claim.digest, now_unix_ms);
+        actions.push(ClaimAction::AlreadyClaimed(pending.holder, word));
     }
 
-    fn try_again(&mut self, batch: Vec<Pending>, uncertain: bool, actions: &mut Vec<ClaimAction>) {
+    fn retry_claims(
+        &mut self,
+        batch: Vec<Pending>,
+        uncertain: bool,
+        actions: &mut Vec<ClaimAction>,
+    ) {
         for mut pending in batch {
             pending.tries += 1;
             pending.maybe_written |= uncertain;
-            if pending.tries >= self.cfg.claim_tries {
+            if pending.tries >= self.cfg.max_claim_attempts {
                 self.abandon(pending, actions);
             } else if uncertain {
                 self.uncertain.push_back(pending);
@@ -389,16 +394,16 @@
     /// next try is not told "in progress".
     fn abandon(&mut self, pending: Pending, actions: &mut Vec<ClaimAction>) {
         let Pending { holder, key, claim, maybe_written, .. } = pending;
-        actions.push(ClaimAction::GivenUp(holder));
+        actions.push(ClaimAction::Abandoned(holder));
         if maybe_written {
             self.freeing.push_back(Settling { key, claim, free: true, tries: 0 });
         }
     }
 
-    fn settle_again(&mut self, batch: Vec<Settling>) {
+    fn retry_settlements(&mut self, batch: Vec<Settling>) {
         for mut settling in batch {
             settling.tries += 1;
-            if settling.tries >= self.cfg.settle_tries {
+            if settling.tries >= self.cfg.max_settle_attempts {
                 continue;
             }
             let queue = if settling.free { &mut self.freeing } else { &mut self.settling };
@@ -431,9 +436,9 @@
 }
 
 /// Takes the claims whose time is over out of a queue.
-fn take_late(queue: &mut VecDeque<Pending>, now: Timestamp) -> Vec<Pending> {
+fn take_expired(queue: &mut VecDeque<Pending>, now: Timestamp) -> Vec<Pending> {
     let (late, rest): (Vec<Pending>, Vec<Pending>) =
-        queue.drain(..).partition(|pending| pending.give_up <= now);
+        queue.drain(..).partition(|pending| pending.abandon_at <= now);
     *queue = rest.into();
     late
 }
--- a/crates/ringbend-ledger/src/lease.rs
+++ b/crates/ringbend-ledger/src/lease.rs
@@ -22,7 +22,7 @@
     /// How much longer a successor waits: the longest order's flight and the clocks' drift.
     pub margin: Duration,
     /// How often the row is read, or renewed by its holder.
-    pub renew_every: Duration,
+    pub renew_interval: Duration,
     /// After how long without renewal the service may delete the row; `None` keeps it, so that
     /// fencing numbers rise for ever.
     pub row_ttl: Option<Duration>,
@@ -33,7 +33,7 @@
         Self {
             ttl: Duration::from_secs(10),
             margin: Duration::from_secs(5),
-            renew_every: Duration::from_secs(3),
+            renew_interval: Duration::from_secs(3),
             row_ttl: None,
         }
     }
@@ -174,7 +174,7 @@
     }
 
     fn idle(&self, now: Timestamp) -> Phase {
-        Phase::Idle { until: now + self.cfg.renew_every }
+        Phase::Idle { until: now + self.cfg.renew_interval }
     }
 
     fn on_row(&mut self, now: Timestamp, row: Option<&Row>) -> Option<LeaseAction> {
--- a/crates/ringbend-ledger/src/lib.rs
+++ b/crates/ringbend-ledger/src/lib.rs
@@ -7,7 +7,7 @@
 mod sweep;
 
 pub use claim::{
-    AnswerBody, Claim, ClaimKey, ClaimState, HeldBy, INLINE_ANSWER_BYTES, StoredAnswer,
+    AnswerBody, Claim, ClaimKey, ClaimState, ExistingClaim, MAX_INLINE_ANSWER_BYTES, StoredAnswer,
 };
 pub use claim_batcher::{
     CallId, ClaimAction, ClaimBatcher, ClaimBatcherConfig, ClaimEvent, Settlement,
--- a/crates/ringbend-ledger/src/sweep.rs
+++ b/crates/ringbend-ledger/src/sweep.rs
@@ -15,14 +15,14 @@
 #[derive(Debug, Clone)]
 pub struct SweepConfig {
     /// The longest any request may last, with some room.
-    pub longest_hold: Duration,
+    pub max_hold: Duration,
     /// How long a presence row must stand still: its lease's time to live and margin.
-    pub presence_wait: Duration,
+    pub presence_timeout: Duration,
 }
 
 impl Default for SweepConfig {
     fn default() -> Self {
-        Self { longest_hold: Duration::from_secs(3_700), presence_wait: Duration::from_secs(40) }
+        Self { max_hold: Duration::from_secs(3_700), presence_timeout: Duration::from_secs(40) }
     }
 }
 
@@ -42,7 +42,12 @@
     }
 
     /// Takes the presence row of an incarnation as the table has it now; `None` is no row.
-    pub fn presence(&mut self, now: Timestamp, incarnation: Incarnation, row: Option<RowVersion>) {
+    pub fn observe_presence(
+        &mut self,
+        now: Timestamp,
+        incarnation: Incarnation,
+        row: Option<RowVersion>,
+    ) {
         match self.presence.get(&incarnation) {
             Some((version, _)) if *version == row => {}
             _ => {
@@ -52,18 +57,18 @@
     }
 
     /// Takes the incarnations that membership has alive, as they are after any refutations.
-    pub fn live(&mut self, live: BTreeSet<Incarnation>) {
+    pub fn set_live(&mut self, live: BTreeSet<Incarnation>) {
         self.live = live;
     }
 
     /// A failed read of the table: presence counts anew, for a row may have stood still only
     /// because nobody could write it.
-    pub fn table_failed(&mut self) {
+    pub fn reset_presence(&mut self) {
         self.presence.clear();
     }
 
     /// Takes an engine's reservations and returns those to free.
-    pub fn reservations(
+    pub fn find_orphaned(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
@@ -74,17 +79,17 @@
         for attempt in &here {
             self.first_seen.entry((endpoint.clone(), *attempt)).or_insert(now);
         }
-        here.into_iter().filter(|attempt| self.orphaned(now, endpoint, *attempt)).collect()
+        here.into_iter().filter(|attempt| self.is_orphaned(now, endpoint, *attempt)).collect()
     }
 
-    fn orphaned(&self, now: Timestamp, endpoint: &EndpointId, attempt: AttemptId) -> bool {
+    fn is_orphaned(&self, now: Timestamp, endpoint: &EndpointId, attempt: AttemptId) -> bool {
         let first = self.first_seen.get(&(endpoint.clone(), attempt)).copied().unwrap_or(now);
-        if now.since(first) >= self.cfg.longest_hold {
+        if now.since(first) >= self.cfg.max_hold {
             return true;
         }
         let holder = Incarnation(attempt.incarnation);
         let still = self.presence.get(&holder).map(|(_, since)| now.since(*since));
-        still.is_some_and(|still| still >= self.cfg.presence_wait) && !self.is_live(holder)
+        still.is_some_and(|still| still >= self.cfg.presence_timeout) && !self.is_live(holder)
     }
 
     /// Attempts carry the incarnation of their holder's start, which refutations have raised since.
--- a/crates/ringbend-ledger/tests/claims.rs
+++ b/crates/ringbend-ledger/tests/claims.rs
@@ -4,7 +4,7 @@
 
 use ringbend_ledger::{
     AnswerBody, CallId, ClaimAction, ClaimBatcher, ClaimBatcherConfig, ClaimEvent, ClaimKey,
-    HeldBy, Settlement, StoredAnswer,
+    ExistingClaim, Settlement, StoredAnswer,
 };
 use ringbend_models::{TableFaults, TableModel, TableRates};
 use ringbend_platform::{TableReply, TableRequest};
@@ -71,7 +71,7 @@
         key: key(text),
         digest: 1,
         until_unix_ms: 60_000,
-        give_up: Timestamp::from_millis(30_000),
+        abandon_at: Timestamp::from_millis(30_000),
     }
 }
 
@@ -91,7 +91,7 @@
     one.run(&mut table, claim(1, "count"));
     two.run(&mut table, claim(2, "count"));
     assert_eq!(one.words, [ClaimAction::Granted(request(1))]);
-    assert_eq!(two.words, [ClaimAction::Held(request(2), HeldBy::InProgress)]);
+    assert_eq!(two.words, [ClaimAction::AlreadyClaimed(request(2), ExistingClaim::InProgress)]);
 }
 
 #[test]
@@ -101,7 +101,10 @@
     one.run(&mut table, claim(1, "count"));
     one.settle(&mut table, 1, Settlement::Done(answer("42")));
     two.run(&mut table, claim(2, "count"));
-    assert_eq!(two.words, [ClaimAction::Held(request(2), HeldBy::Answer(answer("42")))]);
+    assert_eq!(
+        two.words,
+        [ClaimAction::AlreadyClaimed(request(2), ExistingClaim::Answered(answer("42")))]
+    );
     assert_eq!(one.batcher.unsettled(), 0);
 }
 
@@ -117,14 +120,14 @@
     let ClaimEvent::Claim { holder: _, key, digest, until_unix_ms, .. } = claim(3, "count") else {
         return;
     };
-    let give_up = Timestamp::from_millis(90_000);
-    let late = ClaimEvent::Claim { holder: request(3), key, digest, until_unix_ms, give_up };
+    let abandon_at = Timestamp::from_millis(90_000);
+    let late = ClaimEvent::Claim { holder: request(3), key, digest, until_unix_ms, abandon_at };
     two.run(&mut table, late);
     assert_eq!(
         two.words,
         [
-            ClaimAction::Held(request(2), HeldBy::InProgress),
-            ClaimAction::Held(request(3), HeldBy::MayHaveRun),
+            ClaimAction::AlreadyClaimed(request(2), ExistingClaim::InProgress),
+            ClaimAction::AlreadyClaimed(request(3), ExistingClaim::MayHaveRun),
         ]
     );
 }
@@ -144,10 +147,15 @@
     let mut table = table();
     let mut one = Instance::new();
     one.run(&mut table, claim(1, "count"));
-    let ClaimEvent::Claim { key, until_unix_ms, give_up, .. } = claim(2, "count") else { return };
-    let other = ClaimEvent::Claim { holder: request(2), key, digest: 2, until_unix_ms, give_up };
+    let ClaimEvent::Claim { key, until_unix_ms, abandon_at, .. } = claim(2, "count") else {
+        return;
+    };
+    let other = ClaimEvent::Claim { holder: request(2), key, digest: 2, until_unix_ms, abandon_at };
     one.run(&mut table, other);
-    assert_eq!(one.words[1], ClaimAction::Held(request(2), HeldBy::OtherRequest));
+    assert_eq!(
+        one.words[1],
+        ClaimAction::AlreadyClaimed(request(2), ExistingClaim::DifferentRequest)
+    );
 }
 
 #[test]
@@ -165,7 +173,7 @@
     table.faults = TableFaults { outage: true, ..TableFaults::default() };
     let mut one = Instance::new();
     one.run(&mut table, claim(1, "count"));
-    assert_eq!(one.words, [ClaimAction::GivenUp(request(1))]);
+    assert_eq!(one.words, [ClaimAction::Abandoned(request(1))]);
     assert_eq!(table.commits(), 0);
 }
 
@@ -187,7 +195,10 @@
     assert_eq!(one.batcher.unsettled(), 0);
     let mut two = Instance::new();
     two.run(&mut table, claim(2, "count"));
-    assert_eq!(two.words, [ClaimAction::Held(request(2), HeldBy::Answer(answer("42")))]);
+    assert_eq!(
+        two.words,
+        [ClaimAction::AlreadyClaimed(request(2), ExistingClaim::Answered(answer("42")))]
+    );
 }
 
 #[test]
--- a/crates/ringbend-ledger/tests/exhaustive_claims.rs
+++ b/crates/ringbend-ledger/tests/exhaustive_claims.rs
@@ -33,7 +33,7 @@
 
 impl Instance {
     fn new(id: u64) -> Self {
-        let cfg = ClaimBatcherConfig { claim_tries: 3, ..ClaimBatcherConfig::default() };
+        let cfg = ClaimBatcherConfig { max_claim_attempts: 3, ..ClaimBatcherConfig::default() };
         let mut instance = Self {
             batcher: ClaimBatcher::new(cfg),
             now: Timestamp(0),
@@ -47,7 +47,7 @@
             key: ClaimKey { account: "peach".parse().unwrap(), key: "count".parse().unwrap() },
             digest: 1,
             until_unix_ms: 1_000_000,
-            give_up: Timestamp::from_millis(1_000_000),
+            abandon_at: Timestamp::from_millis(1_000_000),
         });
         instance
     }
@@ -58,8 +58,8 @@
                 ClaimAction::Call(call, request) => self.calls.push((call, request)),
                 // The holder stays, as one whose answer has not arrived yet.
                 ClaimAction::Granted(_) => self.granted += 1,
-                ClaimAction::GivenUp(_) => self.given_up = true,
-                ClaimAction::Held(..) => self.held = true,
+                ClaimAction::Abandoned(_) => self.given_up = true,
+                ClaimAction::AlreadyClaimed(..) => self.held = true,
             }
         }
     }
--- a/crates/ringbend-ledger/tests/sweep.rs
+++ b/crates/ringbend-ledger/tests/sweep.rs
@@ -26,9 +26,9 @@
 fn freed_at(dead: bool, version: impl Fn(u64) -> Option<RowVersion>, until: u64) -> Option<u64> {
     let mut sweeper = Sweeper::new(SweepConfig::default());
     for n in (0..until).step_by(5) {
-        sweeper.presence(seconds(n), HOLDER, version(n));
-        sweeper.live(if dead { BTreeSet::new() } else { BTreeSet::from([HOLDER]) });
-        if !sweeper.reservations(seconds(n), &engine(), &held()).is_empty() {
+        sweeper.observe_presence(seconds(n), HOLDER, version(n));
+        sweeper.set_live(if dead { BTreeSet::new() } else { BTreeSet::from([HOLDER]) });
+        if !sweeper.find_orphaned(seconds(n), &engine(), &held()).is_empty() {
             return Some(n);
         }
     }
@@ -59,9 +59,9 @@
 fn memory_of_an_instance_that_refuted_suspicions_is_kept() {
     let mut sweeper = Sweeper::new(SweepConfig::default());
     for n in (0..3_000).step_by(5) {
-        sweeper.presence(seconds(n), HOLDER, Some(RowVersion(3)));
-        sweeper.live(BTreeSet::from([Incarnation(HOLDER.0 + 3)]));
-        let freed = sweeper.reservations(seconds(n), &engine(), &held());
+        sweeper.observe_presence(seconds(n), HOLDER, Some(RowVersion(3)));
+        sweeper.set_live(BTreeSet::from([Incarnation(HOLDER.0 + 3)]));
+        let freed = sweeper.find_orphaned(seconds(n), &engine(), &held());
         assert!(freed.is_empty(), "at {n} s");
     }
 }
@@ -76,24 +76,22 @@
     let mut sweeper = Sweeper::new(SweepConfig::default());
     for n in (0..70).step_by(5) {
         if n == 10 {
-            sweeper.table_failed();
+            sweeper.reset_presence();
         } else {
-            sweeper.presence(seconds(n), HOLDER, Some(RowVersion(3)));
+            sweeper.observe_presence(seconds(n), HOLDER, Some(RowVersion(3)));
         }
-        sweeper.live(BTreeSet::new());
-        let freed = !sweeper.reservations(seconds(n), &engine(), &held()).is_empty();
+        sweeper.set_live(BTreeSet::new());
+        let freed = !sweeper.find_orphaned(seconds(n), &engine(), &held()).is_empty();
         assert_eq!(freed, n >= 55, "at {n} s");
     }
 }
 
 #[test]
 fn a_reservation_seen_anew_counts_from_then() {
-    let mut sweeper = Sweeper::new(SweepConfig {
-        longest_hold: Duration::from_secs(10),
-        ..SweepConfig::default()
-    });
-    assert!(sweeper.reservations(seconds(0), &engine(), &held()).is_empty());
-    assert!(sweeper.reservations(seconds(5), &engine(), &[]).is_empty());
-    assert!(sweeper.reservations(seconds(11), &engine(), &held()).is_empty());
-    assert_eq!(sweeper.reservations(seconds(21), &engine(), &held()).len(), 1);
+    let mut sweeper =
+        Sweeper::new(SweepConfig { max_hold: Duration::from_secs(10), ..SweepConfig::default() });
+    assert!(sweeper.find_orphaned(seconds(0), &engine(), &held()).is_empty());
+    assert!(sweeper.find_orphaned(seconds(5), &engine(), &[]).is_empty());
+    assert!(sweeper.find_orphaned(seconds(11), &engine(), &held()).is_empty());
+    assert_eq!(sweeper.find_orphaned(seconds(21), &engine(), &held()).len(), 1);
 }
--- a/crates/ringbendd/src/callers/life.rs
+++ b/crates/ringbendd/src/callers/life.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use ringbend_ledger::{ClaimEvent, ClaimKey, HeldBy};
+use ringbend_ledger::{ClaimEvent, ClaimKey, ExistingClaim};
 use ringbend_policy::{AttemptEnd, Dispatch, Event, RequestEnd, RequestProfile};
 use ringbend_runtime::{HttpResponse, unix_millis};
 use ringbend_settings::{EffectiveSettings, NodePath};
@@ -238,8 +238,8 @@
         self.app.metrics.claim();
         let left = self.deadline.since(self.app.now());
         let until_unix_ms = unix_millis() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX / 2);
-        let (holder, give_up) = (self.id, self.deadline);
-        let event = ClaimEvent::Claim { holder, key, digest, until_unix_ms, give_up };
+        let (holder, abandon_at) = (self.id, self.deadline);
+        let event = ClaimEvent::Claim { holder, key, digest, until_unix_ms, abandon_at };
         self.app.claims.handle(&self.app, event);
     }
 
@@ -259,9 +259,9 @@
         false
     }
 
-    async fn held(&mut self, by: HeldBy, side: &mut CallerSide) -> bool {
+    async fn held(&mut self, by: ExistingClaim, side: &mut CallerSide) -> bool {
         let failure = match by {
-            HeldBy::Answer(answer) => match stored::response(&self.app, &answer).await {
+            ExistingClaim::Answered(answer) => match stored::response(&self.app, &answer).await {
                 Some(res) => {
                     self.end(Outcome::Answered);
                     side.respond(res);
@@ -269,9 +269,9 @@
                 }
                 None => Failure::EarlierMayHaveRun,
             },
-            HeldBy::InProgress => Failure::InProgress,
-            HeldBy::MayHaveRun => Failure::EarlierMayHaveRun,
-            HeldBy::OtherRequest => Failure::KeyReused,
+            ExistingClaim::InProgress => Failure::InProgress,
+            ExistingClaim::MayHaveRun => Failure::EarlierMayHaveRun,
+            ExistingClaim::DifferentRequest => Failure::KeyReused,
         };
         self.end(Outcome::Failed);
         self.fail(failure, side).await
--- a/crates/ringbendd/src/callers/stored.rs
+++ b/crates/ringbendd/src/callers/stored.rs
@@ -5,7 +5,7 @@
 use actix_http::body::MessageBody;
 use actix_http::header::{CONTENT_TYPE, HeaderValue};
 use bytes::Bytes;
-use ringbend_ledger::{AnswerBody, INLINE_ANSWER_BYTES, StoredAnswer};
+use ringbend_ledger::{AnswerBody, MAX_INLINE_ANSWER_BYTES, StoredAnswer};
 use ringbend_runtime::HttpResponse;
 use ringbend_types::RequestId;
 
@@ -21,7 +21,7 @@
     content_type: &str,
     body: Bytes,
 ) -> Option<StoredAnswer> {
-    let inline = std::str::from_utf8(&body).ok().filter(|_| body.len() <= INLINE_ANSWER_BYTES);
+    let inline = std::str::from_utf8(&body).ok().filter(|_| body.len() <= MAX_INLINE_ANSWER_BYTES);
     let body = match inline {
         Some(text) => AnswerBody::Inline(text.into()),
         None => {
--- a/crates/ringbendd/src/claims.rs
+++ b/crates/ringbendd/src/claims.rs
@@ -65,10 +65,10 @@
                     self.handle(app, ClaimEvent::Settle { holder, settlement });
                 }
             }
-            ClaimAction::Held(holder, by) => {
+            ClaimAction::AlreadyClaimed(holder, by) => {
                 app.decisions.signal(holder, Signal::Held(by));
             }
-            ClaimAction::GivenUp(holder) => {
+            ClaimAction::Abandoned(holder) => {
                 app.decisions.signal(holder, Signal::ClaimGivenUp);
             }
         }
--- a/crates/ringbendd/src/decisions.rs
+++ b/crates/ringbendd/src/decisions.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ringbend_ledger::HeldBy;
+use ringbend_ledger::ExistingClaim;
 use ringbend_platform::{EndpointEntry, EndpointKind, EndpointState, LoadReport, Reservation};
 use ringbend_policy::{
     Action, Dispatch, Dispatcher, DispatcherConfig, Event, FailureCode, HeldMemory, Policy,
@@ -33,7 +33,7 @@
     Admitted,
     Rejected { code: FailureCode, retry_after: Option<Duration> },
     Granted,
-    Held(HeldBy),
+    Held(ExistingClaim),
     ClaimGivenUp,
     Dispatch(Dispatch),
     DropAttempt(AttemptId),
--- a/crates/ringbendd/src/sweep.rs
+++ b/crates/ringbendd/src/sweep.rs
@@ -31,7 +31,7 @@
     LeaseConfig {
         ttl: Duration::from_secs(30),
         margin: Duration::from_secs(10),
-        renew_every: Duration::from_secs(10),
+        renew_interval: Duration::from_secs(10),
         row_ttl: Some(PRESENCE_TTL),
     }
 }
@@ -103,8 +103,8 @@
     let holders: BTreeSet<Incarnation> =
         held.iter().map(|r| Incarnation(r.attempt.incarnation)).collect();
     look_up(app, sweeper, &holders).await;
-    sweeper.live(app.peers.live_incarnations(app));
-    let orphans = sweeper.reservations(app.now(), &engine.id, &held);
+    sweeper.set_live(app.peers.live_incarnations(app));
+    let orphans = sweeper.find_orphaned(app.now(), &engine.id, &held);
     if orphans.is_empty() {
         return;
     }
@@ -129,9 +129,9 @@
         Ok(TableReply::Rows(rows)) => {
             for holder in holders {
                 let row = rows.iter().find(|row| row.key == key(holder));
-                sweeper.presence(app.now(), *holder, row.map(|row| row.version));
+                sweeper.observe_presence(app.now(), *holder, row.map(|row| row.version));
             }
         }
-        _ => sweeper.table_failed(),
+        _ => sweeper.reset_presence(),
     }
 }
