--- a/crates/ringbend-platform/src/endpoint.rs
+++ b/crates/ringbend-platform/src/endpoint.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 use ringbend_types::{
-    AttemptId, DataCentre, EndpointId, FencingNumber, ModelName, ServiceName, TokenCount,
+    AttemptId, DataCentre, EndpointId, FencingToken, ModelName, ServiceName, TokenCount,
 };
 use serde::{Deserialize, Serialize};
 
@@ -46,24 +46,24 @@
 
 /// The text is not one of the allowed words.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ParseEndpointWordError;
+pub struct ParseEndpointStateError;
 
-impl fmt::Display for ParseEndpointWordError {
+impl fmt::Display for ParseEndpointStateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "expected one of engine, service, live, leaving")
     }
 }
 
-impl std::error::Error for ParseEndpointWordError {}
+impl std::error::Error for ParseEndpointStateError {}
 
 impl FromStr for EndpointState {
-    type Err = ParseEndpointWordError;
+    type Err = ParseEndpointStateError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
             "live" => Ok(Self::Live),
             "leaving" => Ok(Self::Leaving),
-            _ => Err(ParseEndpointWordError),
+            _ => Err(ParseEndpointStateError),
         }
     }
 }
@@ -158,7 +158,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The number of the lease under which the order is given.
-    pub fencing: FencingNumber,
+    pub fencing: FencingToken,
     /// What is asked.
     pub kind: OrderKind,
 }
@@ -167,5 +167,5 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRefusal {
     /// The highest number seen.
-    pub highest: FencingNumber,
+    pub highest: FencingToken,
 }
--- a/crates/ringbend-policy/src/profile.rs
+++ b/crates/ringbend-policy/src/profile.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use ringbend_platform::EndpointKind;
-use ringbend_settings::Effective;
+use ringbend_settings::EffectiveSettings;
 use ringbend_types::{ClientAccountId, RequestId, ServiceName, Timestamp, TokenCount};
 
 /// One request, as the policy sees it: sizes and bounds, never content.
@@ -30,13 +30,13 @@
     /// Whether a claim must be granted before dispatch.
     pub needs_claim: bool,
     /// The settings in force for it.
-    pub settings: Arc<Effective>,
+    pub settings: Arc<EffectiveSettings>,
 }
 
 impl RequestProfile {
     /// What it costs of its account's limit, and how much memory it needs.
     pub fn cost(&self) -> TokenCount {
-        self.prompt_tokens.plus(TokenCount(self.max_tokens))
+        self.prompt_tokens.saturating_add(TokenCount(self.max_tokens))
     }
 
     /// Whether it counts as a long prompt.
--- a/crates/ringbend-wire/tests/messages.rs
+++ b/crates/ringbend-wire/tests/messages.rs
@@ -12,7 +12,7 @@
         from_address: "10.0.0.1:7000".parse().unwrap(),
         incarnation: Incarnation(7),
         sequence: 3,
-        kind: gossip::Kind::PingRequest { target: "instance-2".parse().unwrap() },
+        kind: gossip::MessageKind::PingRequest { target: "instance-2".parse().unwrap() },
         settings: SettingsVersion(9),
         updates,
     }
@@ -76,12 +76,12 @@
         ahead.apply(&entry(version));
     });
     behind.apply(&entry(1));
-    EntriesReply::after(&ahead, behind.version()).bring_up(&mut behind).unwrap();
+    EntriesReply::from_replica(&ahead, behind.version()).apply_to(&mut behind).unwrap();
     assert_eq!(behind.snapshot(), ahead.snapshot());
     let mut far_behind = Replica::default();
     let mut loaded = Replica::default();
     loaded.load(ahead.snapshot().clone());
-    EntriesReply::after(&loaded, far_behind.version()).bring_up(&mut far_behind).unwrap();
+    EntriesReply::from_replica(&loaded, far_behind.version()).apply_to(&mut far_behind).unwrap();
     assert_eq!(far_behind.version(), SettingsVersion(5));
 }
 
--- a/crates/ringbendd/src/callers/life.rs
+++ b/crates/ringbendd/src/callers/life.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use ringbend_ledger::{ClaimEvent, ClaimKey, HeldBy};
+use ringbend_ledger::{ClaimEvent, ClaimKey, ExistingClaim};
 use ringbend_policy::{AttemptEnd, Dispatch, Event, RequestEnd, RequestProfile};
 use ringbend_runtime::{HttpResponse, unix_millis};
-use ringbend_settings::{Effective, NodePath};
-use ringbend_telemetry::{Hop, HopKind, Outcome};
+use ringbend_settings::{EffectiveSettings, NodePath};
+use ringbend_telemetry::{Outcome, TraceSpan, TraceSpanKind};
 use ringbend_types::{AttemptId, RequestId, RunState, ServiceName, Timestamp, TokenCount};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -50,7 +50,7 @@
     attempt: AttemptId,
     task: JoinHandle<()>,
     events: mpsc::Receiver<AttemptEvent>,
-    _hop: Hop,
+    _hop: TraceSpan,
 }
 
 impl Drop for Running {
@@ -80,13 +80,17 @@
     record: Option<BytesMut>,
     admitted: bool,
     dispatched: bool,
-    hop: Hop,
-    waiting: Option<Hop>,
+    hop: TraceSpan,
+    waiting: Option<TraceSpan>,
     _permit: BodyPermit,
 }
 
 /// The settings in force for a request.
-pub(crate) fn settings(app: &App, headers: &CallHeaders, service: &ServiceName) -> Arc<Effective> {
+pub(crate) fn settings(
+    app: &App,
+    headers: &CallHeaders,
+    service: &ServiceName,
+) -> Arc<EffectiveSettings> {
     let account = headers.account.clone();
     let path = match &headers.class {
         Some(class) => NodePath::Class(account, service.clone(), class.clone()),
@@ -96,7 +100,11 @@
 }
 
 /// When the answer must have ended.
-pub(crate) fn deadline(app: &App, headers: &CallHeaders, settings: &Effective) -> Timestamp {
+pub(crate) fn deadline(
+    app: &App,
+    headers: &CallHeaders,
+    settings: &EffectiveSettings,
+) -> Timestamp {
     let default = Duration::from_millis(settings.timeouts.deadline_ms);
     let most = Duration::from_millis(settings.timeouts.max_deadline_ms);
     app.now() + headers.deadline.unwrap_or(default).min(most)
@@ -111,9 +119,9 @@
         signals: mpsc::UnboundedReceiver<Signal>,
     ) -> Self {
         let Call { req, headers, body, permit } = call;
-        let mut hop = app.tracing.hop("caller", HopKind::Server, &headers.trace);
-        hop.note("request", profile.id);
-        hop.note("account", &profile.account);
+        let mut hop = app.tracing.start_span("caller", TraceSpanKind::Server, &headers.trace);
+        hop.set_attribute("request", profile.id);
+        hop.set_attribute("account", &profile.account);
         let claim = headers.key.clone().map(|key| {
             let digest = digest(req.method().as_str(), req.path(), &body, &headers);
             (ClaimKey { account: headers.account.clone(), key }, digest)
@@ -222,15 +230,16 @@
     fn start_claim(&mut self) {
         let context = self.hop.context();
         let Some((key, digest)) = self.claim.clone() else {
-            self.waiting = Some(self.app.tracing.hop("queue", HopKind::Internal, context));
+            self.waiting =
+                Some(self.app.tracing.start_span("queue", TraceSpanKind::Internal, context));
             return;
         };
-        self.waiting = Some(self.app.tracing.hop("claim", HopKind::Internal, context));
+        self.waiting = Some(self.app.tracing.start_span("claim", TraceSpanKind::Internal, context));
         self.app.metrics.claim();
         let left = self.deadline.since(self.app.now());
         let until_unix_ms = unix_millis() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX / 2);
-        let (holder, give_up) = (self.id, self.deadline);
-        let event = ClaimEvent::Claim { holder, key, digest, until_unix_ms, give_up };
+        let (holder, abandon_at) = (self.id, self.deadline);
+        let event = ClaimEvent::Claim { holder, key, digest, until_unix_ms, abandon_at };
         self.app.claims.handle(&self.app, event);
     }
 
@@ -245,14 +254,14 @@
             return self.fail(Failure::NoClaim, side).await;
         }
         let context = self.hop.context();
-        self.waiting = Some(self.app.tracing.hop("queue", HopKind::Internal, context));
+        self.waiting = Some(self.app.tracing.start_span("queue", TraceSpanKind::Internal, context));
         self.app.decisions.decide(&self.app, Event::Claimed(self.id));
         false
     }
 
-    async fn held(&mut self, by: HeldBy, side: &mut CallerSide) -> bool {
+    async fn held(&mut self, by: ExistingClaim, side: &mut CallerSide) -> bool {
         let failure = match by {
-            HeldBy::Answer(answer) => match stored::response(&self.app, &answer).await {
+            ExistingClaim::Answered(answer) => match stored::response(&self.app, &answer).await {
                 Some(res) => {
                     self.end(Outcome::Answered);
                     side.respond(res);
@@ -260,9 +269,9 @@
                 }
                 None => Failure::EarlierMayHaveRun,
             },
-            HeldBy::InProgress => Failure::InProgress,
-            HeldBy::MayHaveRun => Failure::EarlierMayHaveRun,
-            HeldBy::OtherRequest => Failure::KeyReused,
+            ExistingClaim::InProgress => Failure::InProgress,
+            ExistingClaim::MayHaveRun => Failure::EarlierMayHaveRun,
+            ExistingClaim::DifferentRequest => Failure::KeyReused,
         };
         self.end(Outcome::Failed);
         self.fail(failure, side).await
@@ -280,10 +289,10 @@
             return app.decisions.decide(app, Event::Ended { attempt, end });
         };
         self.dispatched = true;
-        let mut hop = app.tracing.hop("attempt", HopKind::Client, self.hop.context());
-        hop.note("attempt", attempt);
-        hop.note("endpoint", &dispatch.endpoint);
-        hop.note("number", dispatch.number);
+        let mut hop = app.tracing.start_span("attempt", TraceSpanKind::Client, self.hop.context());
+        hop.set_attribute("attempt", attempt);
+        hop.set_attribute("endpoint", &dispatch.endpoint);
+        hop.set_attribute("number", dispatch.number);
         log::debug!(
             request:% = self.id, attempt:% = attempt, endpoint:% = dispatch.endpoint; "dispatch"
         );
--- a/crates/ringbendd/src/instance.rs
+++ b/crates/ringbendd/src/instance.rs
@@ -9,7 +9,7 @@
 use ringbend_runtime::{Clock, Server, ServerConfig, TimerService, serve, unix_millis};
 use ringbend_telemetry::{Export, Metrics, Tracing};
 use ringbend_types::Incarnation;
-use ringbend_wire::{Hello, PROTOCOL};
+use ringbend_wire::{Hello, PROTOCOL_VERSION};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
@@ -59,7 +59,7 @@
         let metrics = Metrics::default();
         let (tracing, exports) = start_tracing(&cfg)?;
         let hello = Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             instance: cfg.instance.to_string(),
             incarnation: incarnation.0,
             data_centre: cfg.data_centre.to_string(),
@@ -168,7 +168,7 @@
 
 /// Unique over all instances and starts, and rising with time.
 fn new_incarnation() -> Incarnation {
-    Incarnation::of_start(unix_millis(), rand::rng().random())
+    Incarnation::from_start(unix_millis(), rand::rng().random())
 }
 
 fn start_tracing(
@@ -176,7 +176,7 @@
 ) -> Result<(Tracing, Option<mpsc::Receiver<Export>>), Report<DaemonError>> {
     let Some(url) = &cfg.traces.otlp_url else { return Ok((Tracing::default(), None)) };
     let (tracing, exports) =
-        Tracing::exporting(url, cfg.instance.as_str()).change_context(DaemonError::Traces)?;
+        Tracing::with_exporter(url, cfg.instance.as_str()).change_context(DaemonError::Traces)?;
     Ok((tracing, Some(exports)))
 }
 
