--- a/crates/ringbend-gateway/benches/decisions.rs
+++ b/crates/ringbend-gateway/benches/decisions.rs
@@ -9,7 +9,9 @@
 mod support;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use ringbend_gateway::{Claim, Demand, Waiting, Wish, Work, place_on_engines, turn};
+use ringbend_gateway::{
+    Demand, PlacementGoal, QueuedPrompt, WaitingPrompt, Work, decide_turn, place_on_engines,
+};
 use support::{Scene, at, endpoint, ms, profile, service, work, work_id};
 
 /// Engines of a service.
@@ -36,7 +38,7 @@
         scene.load.place(at(0), work_id(1_000_000 + engine as u64), long);
     }
     for number in 0..WAITING {
-        let waiting = Waiting {
+        let waiting = WaitingPrompt {
             service: service("engines"),
             read: ms(5_000),
             since: at(0),
@@ -50,9 +52,9 @@
     scene
 }
 
-fn wish(prompt_tokens: u64) -> Wish {
+fn goal(prompt_tokens: u64) -> PlacementGoal {
     let demand = Demand { prompt_tokens, answer_tokens: 500 };
-    Wish { demand, first_in: ms(1_500), gap: ms(500) }
+    PlacementGoal { demand, first_in: ms(1_500), gap: ms(500) }
 }
 
 fn decisions(c: &mut Criterion) {
@@ -62,15 +64,16 @@
         let (candidates, profile) = (scene.candidates(), profile());
         let mut place = |name, tokens| {
             group.bench_function(BenchmarkId::new(name, engines), |b| {
-                b.iter(|| place_on_engines(scene.view(), &profile, &candidates, &wish(tokens)));
+                b.iter(|| place_on_engines(scene.view(), &profile, &candidates, &goal(tokens)));
             });
         };
         place("a short prompt", 5_000);
         place("a prompt of 45,000 tokens", 45_000);
         place("a prompt of 300,000 tokens", 300_000);
-        let claim = Claim { id: work_id(2_000_000), unused: ms(0), wish: wish(300_000) };
+        let claim =
+            QueuedPrompt { id: work_id(2_000_000), passed_over_for: ms(0), goal: goal(300_000) };
         group.bench_function(BenchmarkId::new("a look at a turn", engines), |b| {
-            b.iter(|| turn(scene.view(), &profile, &candidates, &claim));
+            b.iter(|| decide_turn(scene.view(), &profile, &candidates, &claim));
         });
     }
     group.finish();
--- a/crates/ringbend-gateway/src/attempts.rs
+++ b/crates/ringbend-gateway/src/attempts.rs
@@ -5,12 +5,12 @@
 use ringbend_types::{EndpointId, RunState, ServiceName, Timestamp};
 use smallvec::SmallVec;
 
-use crate::budget::RepeatBudget;
-use crate::snapshot::Repeat;
+use crate::budget::RetryBudget;
+use crate::snapshot::RepeatPolicy;
 
 /// How a send ended without the whole answer that was hoped for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// No byte of the request left this instance.
     NotSent,
     /// The endpoint says that it did not run the request.
@@ -23,11 +23,11 @@
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send the request to another endpoint.
-    SendAgain,
+    Retry,
     /// Pass the endpoint's failure on to the caller.
-    PassOn,
+    ForwardFailure,
     /// End it; the caller hears which of the three words holds.
     GiveUp(RunState),
 }
@@ -39,7 +39,7 @@
 /// The sends of one request so far.
 #[derive(Debug, Clone)]
 pub struct Attempts {
-    repeat: Repeat,
+    repeat: RepeatPolicy,
     max_runs: u8,
     deadline: Timestamp,
     runs: u8,
@@ -49,7 +49,7 @@
 
 impl Attempts {
     /// A request that may run on `max_runs` endpoints and must end by `deadline`.
-    pub fn new(repeat: Repeat, max_runs: u8, deadline: Timestamp) -> Self {
+    pub fn new(repeat: RepeatPolicy, max_runs: u8, deadline: Timestamp) -> Self {
         let tried = SmallVec::new();
         Self { repeat, max_runs: max_runs.max(1), deadline, runs: 0, idle_sends: 0, tried }
     }
@@ -60,7 +60,7 @@
     }
 
     /// The time left.
-    pub fn left(&self, now: Timestamp) -> Duration {
+    pub fn remaining(&self, now: Timestamp) -> Duration {
         self.deadline.since(now)
     }
 
@@ -75,35 +75,35 @@
     }
 
     /// Notes that the request is about to be sent to `endpoint`.
-    pub fn sending(&mut self, endpoint: &EndpointId) {
+    pub fn record_send(&mut self, endpoint: &EndpointId) {
         self.tried.push(endpoint.clone());
     }
 
     /// Decides what follows a send that ended. A repeat is taken out of `budget`, unless nothing
     /// had reached an endpoint yet.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         now: Timestamp,
-        end: SendEnd,
+        end: SendOutcome,
         service: &ServiceName,
-        budget: &mut RepeatBudget,
-    ) -> Next {
+        budget: &mut RetryBudget,
+    ) -> NextStep {
         match end {
-            SendEnd::NotSent | SendEnd::NotRun => self.idle_sends += 1,
-            SendEnd::Unknown | SendEnd::FailedAnswer => self.runs += 1,
+            SendOutcome::NotSent | SendOutcome::NotRun => self.idle_sends += 1,
+            SendOutcome::Unknown | SendOutcome::FailedAnswer => self.runs += 1,
         }
         let may_send = self.may_send_again() && now < self.deadline;
-        if may_send && (end == SendEnd::NotSent || budget.take(now, service)) {
-            return Next::SendAgain;
+        if may_send && (end == SendOutcome::NotSent || budget.take(now, service)) {
+            return NextStep::Retry;
         }
         match end {
-            SendEnd::FailedAnswer => Next::PassOn,
-            _ => Next::GiveUp(self.run_state()),
+            SendOutcome::FailedAnswer => NextStep::ForwardFailure,
+            _ => NextStep::GiveUp(self.run_state()),
         }
     }
 
     /// Notes that a send was broken off here: what came of it is not known.
-    pub fn broken_off(&mut self) {
+    pub fn record_aborted(&mut self) {
         self.runs += 1;
     }
 
@@ -113,20 +113,20 @@
         &mut self,
         now: Timestamp,
         service: &ServiceName,
-        budget: &mut RepeatBudget,
+        budget: &mut RetryBudget,
     ) -> bool {
         self.runs_again(now, || budget.take(now, service))
     }
 
     /// Whether another run is begun beside one that is overdue. It counts as if the first one had been
     /// replaced.
-    pub fn run_beside(
+    pub fn begin_hedge(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
-        budget: &mut RepeatBudget,
+        budget: &mut RetryBudget,
     ) -> bool {
-        self.runs_again(now, || budget.take_spare(now, service))
+        self.runs_again(now, || budget.take_for_hedge(now, service))
     }
 
     /// Whether there is another run before the first one's end is known; notes it if `take` has one.
--- a/crates/ringbend-gateway/src/budget.rs
+++ b/crates/ringbend-gateway/src/budget.rs
@@ -11,7 +11,7 @@
 
 /// The bounds of the budget over all instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetBounds {
+pub struct RetryBudgetBounds {
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// The window over which both are counted.
@@ -50,8 +50,8 @@
 
 /// One instance's part of the budget.
 #[derive(Debug, Clone)]
-pub struct RepeatBudget {
-    bounds: BudgetBounds,
+pub struct RetryBudget {
+    bounds: RetryBudgetBounds,
     instances: usize,
     /// When it was first told of others: about when the instance started.
     started: Option<Timestamp>,
@@ -60,14 +60,14 @@
     services: BTreeMap<ServiceName, Counts>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// A budget within `bounds`.
-    pub fn new(bounds: BudgetBounds) -> Self {
+    pub fn new(bounds: RetryBudgetBounds) -> Self {
         Self { bounds, instances: 0, started: None, most: None, services: BTreeMap::new() }
     }
 
     /// Puts new bounds in force; what was counted stays.
-    pub fn set_bounds(&mut self, bounds: BudgetBounds) {
+    pub fn set_bounds(&mut self, bounds: RetryBudgetBounds) {
         self.bounds = bounds;
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Counts a caller's request for `service`.
-    pub fn request(&mut self, now: Timestamp, service: &ServiceName) {
+    pub fn record_request(&mut self, now: Timestamp, service: &ServiceName) {
         let window = self.bounds.window;
         let counts = self.counts(service);
         counts.requests.push_back(now);
@@ -97,13 +97,13 @@
     /// Takes one repeat that is not needed, but may help: none out of the allowance, which is for requests
     /// that have failed. What is taken by the ratio is in proportion to an instance's own requests, so it
     /// stays within the budget also where all instances have just started again.
-    pub fn take_spare(&mut self, now: Timestamp, service: &ServiceName) -> bool {
+    pub fn take_for_hedge(&mut self, now: Timestamp, service: &ServiceName) -> bool {
         self.take_beside(now, service, 0.0)
     }
 
     /// Takes one repeat, if the ratio and this `part` of the allowance have room.
     fn take_beside(&mut self, now: Timestamp, service: &ServiceName, part: f64) -> bool {
-        let BudgetBounds { ratio, window, .. } = self.bounds;
+        let RetryBudgetBounds { ratio, window, .. } = self.bounds;
         let counts = self.counts(service);
         forget(&mut counts.requests, now, window);
         forget(&mut counts.repeats, now, window);
--- a/crates/ringbend-gateway/src/candidate.rs
+++ b/crates/ringbend-gateway/src/candidate.rs
@@ -4,11 +4,11 @@
 
 use ringbend_types::Timestamp;
 
-use crate::choice::{DISTRUST_COST, FAR_COST, TRIED_COST, Wish, is_long};
+use crate::choice::{DISTRUST_COST, FAR_COST, PlacementGoal, TRIED_COST, is_long};
 use crate::directory::Endpoint;
 use crate::engine::EngineProfile;
-use crate::load::{EndpointLoad, Writer};
-use crate::view::{View, beside_suspect, limited, room, spread};
+use crate::load::{DecodeTask, EndpointLoad};
+use crate::view::{FleetView, beside_suspect, limited, room, spread};
 use crate::weights::PlacementWeights;
 
 /// The gap of tight requests that are still to come.
@@ -64,7 +64,7 @@
 
 impl<'a> Engine<'a> {
     pub(crate) fn new(
-        view: View<'a>,
+        view: FleetView<'a>,
         profile: &EngineProfile,
         endpoint: &'a Endpoint,
         kept_for: f64,
@@ -73,20 +73,21 @@
         let pace = load.pace().factor();
         let far = if endpoint.data_centre == *view.home { 0.0 } else { FAR_COST };
         let tried = if view.tried.contains(&endpoint.id) { TRIED_COST } else { 0.0 };
-        let distrust = view.trust.distrust(view.now, &endpoint.id) * DISTRUST_COST;
+        let distrust = view.health.penalty_ms(view.now, &endpoint.id) * DISTRUST_COST;
         Self {
             endpoint,
             load,
-            base_ms: pace * profile.pass_ms(load.writers().len() as u32),
+            base_ms: pace * profile.pass_ms(load.decodes().len() as u32),
             places: f64::from(profile.slots.max(1)),
             backlog_ms: pace * millis(load.backlog()),
             pace,
-            reading_ms: pace * load.readers().map(|reader| millis(reader.left)).fold(0.0, f64::max),
+            reading_ms: pace
+                * load.prefills().map(|reader| millis(reader.left)).fold(0.0, f64::max),
             kept_for,
             quiet: load.quiet(),
             fixed: far + tried + distrust + beside_suspect(view, &endpoint.id),
             limited: limited(view, endpoint),
-            spread: view.alone.map_or(0.0, |draw| spread(draw, &endpoint.id)),
+            spread: view.spread_seed.map_or(0.0, |draw| spread(draw, &endpoint.id)),
         }
     }
 
@@ -96,7 +97,7 @@
     }
 
     /// What reading costs the requests that are on the engine. A part goes before all that waits.
-    pub(crate) fn harm(
+    pub(crate) fn cost_to_others(
         &self,
         w: &PlacementWeights,
         now: Timestamp,
@@ -104,7 +105,7 @@
         is_part: bool,
     ) -> f64 {
         let (before, after) = (self.pass_ms(0.0), self.pass_ms(part_ms));
-        let to_writer = |writer: &Writer| {
+        let to_writer = |writer: &DecodeTask| {
             let limit = millis(writer.gap);
             writer.stake * (lateness(w, after, limit) - lateness(w, before, limit))
         };
@@ -120,7 +121,7 @@
     fn delays(&self, w: &PlacementWeights, now: Timestamp, part_ms: f64) -> f64 {
         let mut done = self.base_ms;
         let mut cost = 0.0;
-        for reader in self.load.readers() {
+        for reader in self.load.prefills() {
             done += self.pace * millis(reader.left);
             let limit = millis(reader.first_by.since(now));
             let later = lateness(w, done + part_ms, limit) - lateness(w, done, limit);
@@ -135,10 +136,10 @@
     /// The pass that is under way has to end first. Of one engine half of it is left on average; the
     /// first event waits for the last of `parts` engines, whose passes are not in step.
     pub(crate) fn first_ms(&self, part_ms: f64, parts: usize, leads: bool) -> f64 {
-        let waiting = (self.load.writers().len() as f64 + 1.0 - self.places).max(0.0);
+        let waiting = (self.load.decodes().len() as f64 + 1.0 - self.places).max(0.0);
         let place = if leads { waiting * PLACE_MS } else { 0.0 };
         let last_of = parts as f64 / (parts as f64 + 1.0);
-        let under_way = if self.load.writers().is_empty() { 0.0 } else { self.base_ms * last_of };
+        let under_way = if self.load.decodes().is_empty() { 0.0 } else { self.base_ms * last_of };
         // A part goes before all that waits, but not before what is being read.
         let before = if parts > 1 { self.reading_ms } else { self.backlog_ms };
         under_way + self.base_ms + before + part_ms + place
@@ -147,15 +148,15 @@
     /// What it costs to have it write the answer.
     pub(crate) fn lead_cost(
         &self,
-        view: View<'_>,
+        view: FleetView<'_>,
         profile: &EngineProfile,
-        wish: &Wish,
+        goal: &PlacementGoal,
         stake: f64,
     ) -> f64 {
         let w = view.weights;
         let places = f64::from(profile.slots.max(1));
-        let taken = self.load.writers().len() as f64;
-        let memory = wish.demand.prompt_tokens + wish.demand.answer_tokens;
+        let taken = self.load.decodes().len() as f64;
+        let memory = goal.demand.prompt_tokens + goal.demand.answer_tokens;
         let missing = memory.saturating_sub(room(profile, self.load));
         let mut cost = missing as f64 / memory.max(1) as f64 * w.hold;
         if taken >= places {
@@ -163,8 +164,8 @@
         }
         // Parts such as it lately got will come again while the answer is written.
         let usual = self.base_ms + self.pace * millis(self.load.usual_part(view.now));
-        cost += stake * lateness(w, usual, millis(wish.gap)) * 0.5;
-        if !is_long(w, profile, wish.demand) {
+        cost += stake * lateness(w, usual, millis(goal.gap)) * 0.5;
+        if !is_long(w, profile, goal.demand) {
             let share = self.quiet as f64 / places;
             cost += if self.kept_for == 0.0 { w.open } else { 0.0 };
             cost += (share - w.full_share).max(0.0) / FULL_STEP * w.open;
--- a/crates/ringbend-gateway/src/choice.rs
+++ b/crates/ringbend-gateway/src/choice.rs
@@ -14,9 +14,9 @@
 use crate::candidate::{Engine, lateness, millis};
 use crate::directory::Endpoint;
 use crate::engine::{EngineProfile, MOST_ENGINES};
-use crate::load::Held;
+use crate::load::HelperMemory;
 use crate::quiet::quiet_engines;
-use crate::view::{View, beside_suspect, limited, room};
+use crate::view::{FleetView, beside_suspect, limited, room};
 use crate::weights::PlacementWeights;
 
 /// What is asked of the endpoints.
@@ -30,7 +30,7 @@
 
 /// What is wanted of a placement.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish {
+pub struct PlacementGoal {
     /// What is asked.
     pub demand: Demand,
     /// The time left until the first event is late.
@@ -49,11 +49,11 @@
     /// How long each of them reads.
     pub part: Duration,
     /// Memory to be held on helpers, where the lead has too little.
-    pub held: SmallVec<[Held; 2]>,
+    pub held: SmallVec<[HelperMemory; 2]>,
     /// What it is expected to cost, in stakes.
     pub cost: f64,
     /// What of that is the cost to other requests.
-    pub harm: f64,
+    pub cost_to_others: f64,
     /// When the first event is expected, in milliseconds.
     pub first_ms: f64,
 }
@@ -96,18 +96,18 @@
 
 /// Whether a prompt is long: it waits for its turn, and is kept off quiet engines.
 pub fn is_long(w: &PlacementWeights, profile: &EngineProfile, demand: Demand) -> bool {
-    profile.read_ms(demand.prompt_tokens) > w.long_ms
+    profile.prefill_ms(demand.prompt_tokens) > w.long_ms
 }
 
 /// Places a request on engines that read and write as `profile` tells.
 pub fn place_on_engines(
-    view: View<'_>,
+    view: FleetView<'_>,
     profile: &EngineProfile,
     candidates: &[&Endpoint],
-    wish: &Wish,
+    goal: &PlacementGoal,
 ) -> Option<Placement> {
     let w = view.weights;
-    let long = is_long(w, profile, wish.demand);
+    let long = is_long(w, profile, goal.demand);
     let kept_for = f64::from(profile.slots.max(1)) * w.full_share;
     let engines: Vec<Engine<'_>> = candidates
         .iter()
@@ -115,10 +115,10 @@
         .filter(|(_, quiet)| !(long && *quiet))
         .map(|(e, quiet)| Engine::new(view, profile, e, if quiet { kept_for } else { 0.0 }))
         .collect();
-    let read_ms = profile.read_ms(wish.demand.prompt_tokens);
+    let read_ms = profile.prefill_ms(goal.demand.prompt_tokens);
     let most = if read_ms <= w.whole_ms { 1 } else { engines.len().min(MOST_ENGINES) };
     let tries = PARTS.iter().copied().filter(|parts| *parts <= most);
-    let placements = tries.filter_map(|parts| place_parts(view, profile, &engines, wish, parts));
+    let placements = tries.filter_map(|parts| place_parts(view, profile, &engines, goal, parts));
     placements.min_by(|a, b| a.cost.total_cmp(&b.cost))
 }
 
@@ -126,7 +126,7 @@
 #[derive(Clone, Copy)]
 struct Price {
     /// To the requests on it.
-    harm: f64,
+    cost_to_others: f64,
     /// To the request itself, by the time that its part takes if the engine helps.
     own: f64,
     /// The same if it leads.
@@ -139,26 +139,26 @@
 
 impl Price {
     fn as_lead(&self) -> f64 {
-        self.harm + self.own_as_lead + self.lead + self.spread
+        self.cost_to_others + self.own_as_lead + self.lead + self.spread
     }
 
     fn as_helper(&self) -> f64 {
-        self.harm + self.own + self.spread
+        self.cost_to_others + self.own + self.spread
     }
 }
 
 /// The best placement on exactly `parts` engines.
 fn place_parts(
-    view: View<'_>,
+    view: FleetView<'_>,
     profile: &EngineProfile,
     engines: &[Engine<'_>],
-    wish: &Wish,
+    goal: &PlacementGoal,
     parts: usize,
 ) -> Option<Placement> {
-    let part_ms = profile.read_ms(wish.demand.prompt_tokens) / parts as f64;
+    let part_ms = profile.prefill_ms(goal.demand.prompt_tokens) / parts as f64;
     let w = view.weights;
-    let stake = stake(w, wish.demand.prompt_tokens);
-    let aim_ms = millis(wish.first_in);
+    let stake = stake(w, goal.demand.prompt_tokens);
+    let aim_ms = millis(goal.first_in);
     let price = |e: &Engine<'_>| {
         let part_ms = part_ms * e.pace;
         let own = |leads| {
@@ -166,10 +166,10 @@
             stake * (lateness(w, first, aim_ms) + w.first * first / aim_ms.max(LATE_AIM_MS))
         };
         Price {
-            harm: e.harm(w, view.now, part_ms, parts > 1) + e.fixed,
+            cost_to_others: e.cost_to_others(w, view.now, part_ms, parts > 1) + e.fixed,
             own: own(false),
             own_as_lead: own(true),
-            lead: e.lead_cost(view, profile, wish, stake) + e.limited,
+            lead: e.lead_cost(view, profile, goal, stake) + e.limited,
             spread: ALONE_SPREAD * stake * e.spread,
         }
     };
@@ -184,13 +184,14 @@
     }
     let helping = || helpers.iter().copied();
     let own = helping().map(|at| prices[at].own).fold(prices[lead].own_as_lead, f64::max);
-    let harm = prices[lead].harm + helping().map(|at| prices[at].harm).sum::<f64>();
+    let cost_to_others =
+        prices[lead].cost_to_others + helping().map(|at| prices[at].cost_to_others).sum::<f64>();
     let first_of = |at: usize, leads| {
         let e: &Engine<'_> = &engines[at];
         e.first_ms(part_ms * e.pace, parts, leads)
     };
     let first_as_lead = first_of(lead, true);
-    let memory = wish.demand.prompt_tokens + wish.demand.answer_tokens;
+    let memory = goal.demand.prompt_tokens + goal.demand.answer_tokens;
     let missing = memory.saturating_sub(room(profile, engines[lead].load));
     let rooms = helping().map(|at| (&engines[at].endpoint.id, room(profile, engines[at].load)));
     let (held, no_memory) = match hold(missing, rooms.collect()) {
@@ -200,10 +201,14 @@
     Some(Placement {
         lead: engines[lead].endpoint.id.clone(),
         helpers: helpers.iter().map(|at| engines[*at].endpoint.id.clone()).collect(),
-        part: profile.part_time(wish.demand.prompt_tokens, parts),
+        part: profile.prefill_time(goal.demand.prompt_tokens, parts),
         held,
-        harm,
-        cost: harm + own + prices[lead].lead + no_memory + w.helper * helpers.len() as f64,
+        cost_to_others,
+        cost: cost_to_others
+            + own
+            + prices[lead].lead
+            + no_memory
+            + w.helper * helpers.len() as f64,
         first_ms: helping().map(|at| first_of(at, false)).fold(first_as_lead, f64::max),
     })
 }
@@ -230,7 +235,7 @@
 
 /// Shares `missing` tokens out among helpers, those with most room first; none if they have too
 /// little.
-fn hold(missing: u64, mut rooms: Vec<(&EndpointId, u64)>) -> Option<SmallVec<[Held; 2]>> {
+fn hold(missing: u64, mut rooms: Vec<(&EndpointId, u64)>) -> Option<SmallVec<[HelperMemory; 2]>> {
     let mut held = SmallVec::new();
     let mut left = missing;
     rooms.sort_by_key(|(_, room)| std::cmp::Reverse(*room));
@@ -239,19 +244,19 @@
             break;
         }
         let tokens = left.max(LEAST_HELD).min(room);
-        held.push(Held { endpoint: endpoint.clone(), tokens });
+        held.push(HelperMemory { endpoint: endpoint.clone(), tokens });
         left = left.saturating_sub(tokens);
     }
     (left == 0).then_some(held)
 }
 
 /// Places a request on a plain service: on the endpoint with most free places, near ones first.
-pub fn place_on_service(view: View<'_>, candidates: &[&Endpoint]) -> Option<Placement> {
+pub fn place_on_service(view: FleetView<'_>, candidates: &[&Endpoint]) -> Option<Placement> {
     let cost = |e: &Endpoint| {
-        let open = view.load.of(&e.id).writers().len() as f64;
+        let open = view.load.of(&e.id).decodes().len() as f64;
         let far = if e.data_centre == *view.home { 0.0 } else { FAR_COST };
         let tried = if view.tried.contains(&e.id) { TRIED_COST } else { 0.0 };
-        let distrust = view.trust.distrust(view.now, &e.id) * DISTRUST_COST;
+        let distrust = view.health.penalty_ms(view.now, &e.id) * DISTRUST_COST;
         let beside = beside_suspect(view, &e.id);
         let limited = limited(view, e);
         open / f64::from(e.slots.max(1)) + far + tried + distrust + beside + limited
@@ -260,5 +265,13 @@
     let (cost, best) = costs.min_by(|a, b| a.0.total_cmp(&b.0))?;
     let (lead, helpers) = (best.id.clone(), SmallVec::new());
     let held = SmallVec::new();
-    Some(Placement { lead, helpers, part: Duration::ZERO, held, cost, harm: 0.0, first_ms: 0.0 })
+    Some(Placement {
+        lead,
+        helpers,
+        part: Duration::ZERO,
+        held,
+        cost,
+        cost_to_others: 0.0,
+        first_ms: 0.0,
+    })
 }
--- a/crates/ringbend-gateway/src/deferral.rs
+++ b/crates/ringbend-gateway/src/deferral.rs
@@ -1,12 +1,12 @@
 //! Whether a long prompt whose turn it is had better wait.
 
 use crate::candidate::millis;
-use crate::choice::{Wish, place_on_engines, stake};
+use crate::choice::{PlacementGoal, place_on_engines, stake};
 use crate::directory::Endpoint;
 use crate::engine::{EngineProfile, MOST_ENGINES};
 use crate::load::LATE_STAKE;
-use crate::view::View;
-use crate::waiting::Waiting;
+use crate::view::FleetView;
+use crate::waiting::WaitingPrompt;
 
 /// The share of the engines which is enough for any prompt, however long its parts are then: the
 /// longest would wait for ever for short ones. A quarter is left to others.
@@ -37,28 +37,28 @@
 /// are written now have ended and parts that wait now have been read. One that is late already has less
 /// to lose and gives way for part of its caller's time.
 pub(crate) fn had_better_wait(
-    view: View<'_>,
+    view: FleetView<'_>,
     profile: &EngineProfile,
     candidates: &[&Endpoint],
-    wish: &Wish,
-    waiting: &Waiting,
+    goal: &PlacementGoal,
+    waiting: &WaitingPrompt,
 ) -> Option<Wait> {
-    let read_ms = profile.read_ms(wish.demand.prompt_tokens);
+    let read_ms = profile.prefill_ms(goal.demand.prompt_tokens);
     let enough = (candidates.len().min(MOST_ENGINES) as f64 * ENOUGH).max(1.0);
     let longest_ms = view.weights.longest_ms.max(read_ms / enough);
-    let placement = place_on_engines(view, profile, candidates, wish)?;
+    let placement = place_on_engines(view, profile, candidates, goal)?;
     if millis(placement.part) > longest_ms {
         return Some(Wait::TooLong);
     }
     let w = view.weights;
-    let stake = stake(w, wish.demand.prompt_tokens);
-    let left_ms = millis(wish.first_in);
-    let Waiting { since, until, .. } = *waiting;
+    let stake = stake(w, goal.demand.prompt_tokens);
+    let left_ms = millis(goal.first_in);
+    let WaitingPrompt { since, until, .. } = *waiting;
     let gives_way_until = since + until.since(since).mul_f64(GIVES_WAY);
     let (stake, has_time) = match placement.first_ms > left_ms {
         true => (stake * LATE_STAKE, view.now < gives_way_until),
         false => (stake, placement.first_ms + w.spare_ms < left_ms),
     };
-    let is_dear = placement.harm > w.dear * stake;
+    let is_dear = placement.cost_to_others > w.dear * stake;
     (is_dear && has_time).then_some(Wait::TooDear)
 }
--- a/crates/ringbend-gateway/src/directory.rs
+++ b/crates/ringbend-gateway/src/directory.rs
@@ -47,11 +47,11 @@
 }
 
 /// Endpoints whose processes have ended: what they held and worked on is gone.
-pub type Ended = SmallVec<[EndpointId; 2]>;
+pub type EndedEndpoints = SmallVec<[EndpointId; 2]>;
 
 /// How long an entry that vanished around an outage of the store is still believed in. Entries that
 /// lapsed meanwhile are back within about two seconds of the store's return.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_200);
+pub const OUTAGE_GRACE: Duration = Duration::from_millis(2_200);
 
 /// How long an endpoint is remembered after its entry is gone. Heartbeats of a former start have come
 /// back as rows some four seconds after its entry had lapsed.
@@ -97,27 +97,27 @@
 
 impl Directory {
     /// Notes that the store answers again after it did not.
-    pub fn regained(&mut self, now: Timestamp) {
+    pub fn store_recovered(&mut self, now: Timestamp) {
         self.regained_at = Some(now);
     }
 
     /// Takes in one change. Returns the endpoints whose processes it shows to have ended.
-    pub fn apply(&mut self, now: Timestamp, change: EndpointChange) -> Ended {
+    pub fn apply(&mut self, now: Timestamp, change: EndpointChange) -> EndedEndpoints {
         match change {
             EndpointChange::Present(endpoint) => self.present(now, endpoint),
             EndpointChange::Gone(id) => {
                 self.miss(now, &id);
-                Ended::new()
+                EndedEndpoints::new()
             }
             EndpointChange::Unreadable(id) => {
                 self.remove(now, &id);
-                Ended::new()
+                EndedEndpoints::new()
             }
         }
     }
 
     /// Takes in the whole list. Returns the endpoints whose processes it shows to have ended.
-    pub fn replace(&mut self, now: Timestamp, all: Vec<Endpoint>) -> Ended {
+    pub fn replace(&mut self, now: Timestamp, all: Vec<Endpoint>) -> EndedEndpoints {
         let named: HashSet<&EndpointId> = all.iter().map(|endpoint| &endpoint.id).collect();
         let missing = self.entries.keys().filter(|id| !named.contains(id));
         for id in missing.cloned().collect::<Vec<_>>() {
@@ -128,15 +128,15 @@
 
     /// Notes when an endpoint's process started, from its own word. Returns it if an earlier process
     /// has ended by that.
-    pub fn note_start(&mut self, id: &EndpointId, start: EndpointStart) -> Ended {
-        let Some(entry) = self.entries.get_mut(id) else { return Ended::new() };
+    pub fn note_start(&mut self, id: &EndpointId, start: EndpointStart) -> EndedEndpoints {
+        let Some(entry) = self.entries.get_mut(id) else { return EndedEndpoints::new() };
         let before = entry.endpoint.start;
         if before.is_none_or(|before| start <= before) {
-            return Ended::new();
+            return EndedEndpoints::new();
         }
         entry.endpoint.start = Some(start);
         entry.draining = self.drains.contains(&entry.endpoint);
-        Ended::from_iter([id.clone()])
+        EndedEndpoints::from_iter([id.clone()])
     }
 
     /// Notes that an endpoint has announced that it is draining. Returns whether it is news.
@@ -167,8 +167,8 @@
         drains.sweep(now, |id| entries.contains_key(id));
     }
 
-    fn present(&mut self, now: Timestamp, endpoint: Endpoint) -> Ended {
-        let mut ended = Ended::new();
+    fn present(&mut self, now: Timestamp, endpoint: Endpoint) -> EndedEndpoints {
+        let mut ended = EndedEndpoints::new();
         let known = self.entries.get(&endpoint.id);
         let former = self.former.get(&endpoint.id).filter(|former| now < former.until);
         let before = known.map(|entry| entry.endpoint.start).or(former.map(|former| former.start));
@@ -238,10 +238,10 @@
     /// Notes that an endpoint that has just started listens at its address, so whichever did before has
     /// ended. Only within a service: a row of a service that nobody knows proves nothing of others. Of
     /// two that were first seen together it is not known which started later.
-    fn take_over(&mut self, now: Timestamp, endpoint: &Endpoint) -> Ended {
+    fn take_over(&mut self, now: Timestamp, endpoint: &Endpoint) -> EndedEndpoints {
         let others = self.listening(endpoint.address).filter(|entry| entry.since < now);
         let others = others.filter(|entry| entry.endpoint.is_at_address_of(endpoint));
-        let ended: Ended = others.map(|entry| entry.endpoint.id.clone()).collect();
+        let ended: EndedEndpoints = others.map(|entry| entry.endpoint.id.clone()).collect();
         for id in &ended {
             if let Some(entry) = self.entries.get_mut(id) {
                 entry.replaced_by = Some(endpoint.id.clone());
@@ -251,7 +251,7 @@
     }
 
     fn miss(&mut self, now: Timestamp, id: &EndpointId) {
-        let doubt_until = self.regained_at.map(|at| at + RETURN_TIME).filter(|until| now < *until);
+        let doubt_until = self.regained_at.map(|at| at + OUTAGE_GRACE).filter(|until| now < *until);
         let Some(entry) = self.entries.get_mut(id) else { return };
         match doubt_until {
             Some(until) if !entry.is_leaving() => entry.missing_until = Some(until),
--- a/crates/ringbend-gateway/src/events.rs
+++ b/crates/ringbend-gateway/src/events.rs
@@ -32,11 +32,11 @@
 
 /// Collects bytes until an event is whole.
 #[derive(Debug, Clone, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buf: Vec<u8>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes in bytes and returns the events that they complete.
     ///
     /// # Errors
--- a/crates/ringbend-gateway/src/gate.rs
+++ b/crates/ringbend-gateway/src/gate.rs
@@ -10,7 +10,7 @@
 
 /// How old a configuration may be for which purpose.
 #[derive(Debug, Clone, Copy)]
-pub struct GateBounds {
+pub struct AdmissionBounds {
     /// A key that was taken away is refused for requests sent this long after the change. So a copy
     /// that was not proved current for as long lets no key in. None where nothing bounds it.
     pub key_age: Option<Duration>,
@@ -21,7 +21,7 @@
 
 /// What a request shows at the door.
 #[derive(Debug, Clone, Copy)]
-pub struct Arrival<'a> {
+pub struct AdmissionRequest<'a> {
     /// The host it names.
     pub host: &'a str,
     /// Its path, without the query.
@@ -63,8 +63,8 @@
 pub fn admit(
     replica: &Replica,
     now: Timestamp,
-    bounds: &GateBounds,
-    arrival: Arrival<'_>,
+    bounds: &AdmissionBounds,
+    arrival: AdmissionRequest<'_>,
 ) -> Result<Admitted, Denied> {
     let snapshot = replica.snapshot().ok_or(Denied::NoConfig)?;
     let age = replica.age(now).unwrap_or(Duration::MAX);
--- a/crates/ringbend-gateway/src/job.rs
+++ b/crates/ringbend-gateway/src/job.rs
@@ -6,7 +6,7 @@
 use ringbend_types::{EndpointId, Fingerprint, ServiceName, Timestamp};
 use smallvec::SmallVec;
 
-use crate::choice::{Demand, Placement, Wish, stake};
+use crate::choice::{Demand, Placement, PlacementGoal, stake};
 use crate::load::Work;
 use crate::weights::PlacementWeights;
 
@@ -26,13 +26,13 @@
     /// The longest pause between events that is on time.
     pub gap: Duration,
     /// When its caller leaves if no event has come.
-    pub patience: Timestamp,
+    pub caller_timeout_at: Timestamp,
     /// When it must have ended.
     pub deadline: Timestamp,
     /// Endpoints that it was sent to before.
     pub tried: SmallVec<[EndpointId; 4]>,
     /// Endpoints that its instance must not send to now, as they asked it to back off.
-    pub closed: Vec<EndpointId>,
+    pub backing_off: Vec<EndpointId>,
     /// Whether it is placed at once, however long its prompt is: its stream has begun.
     pub at_once: bool,
     /// Its rank among those that wait for a place, zero first: by its account, or by its route.
@@ -43,8 +43,8 @@
 
 impl Job {
     /// What is wanted of a placement; `demand` is the request's own.
-    pub fn wish(&self, now: Timestamp, demand: Demand) -> Wish {
-        Wish { demand, first_in: self.first_by.since(now), gap: self.gap }
+    pub fn goal(&self, now: Timestamp, demand: Demand) -> PlacementGoal {
+        PlacementGoal { demand, first_in: self.first_by.since(now), gap: self.gap }
     }
 
     /// The work that it puts on endpoints if it is placed like this.
--- a/crates/ringbend-gateway/src/lib.rs
+++ b/crates/ringbend-gateway/src/lib.rs
@@ -40,37 +40,43 @@
 mod waiting;
 mod weights;
 
-pub use attempts::{Attempts, Next, SendEnd};
+pub use attempts::{Attempts, NextStep, SendOutcome};
 pub use backoffs::{BackoffState, Backoffs};
-pub use budget::{BudgetBounds, RepeatBudget};
-pub use choice::{Demand, Placement, Wish, is_long, place_on_engines, place_on_service, stake};
-pub use directory::{Directory, Ended, Endpoint, EndpointChange, RETURN_TIME};
+pub use budget::{RetryBudget, RetryBudgetBounds};
+pub use choice::{
+    Demand, Placement, PlacementGoal, is_long, place_on_engines, place_on_service, stake,
+};
+pub use directory::{Directory, EndedEndpoints, Endpoint, EndpointChange, OUTAGE_GRACE};
 pub use drains::{Drain, Drains};
 pub use engine::EngineProfile;
-pub use events::{Event, EventCutter, EventId, EventTooLong};
+pub use events::{Event, EventId, EventSplitter, EventTooLong};
 pub use freshness::{Freshness, Proof};
-pub use gate::{Admitted, Arrival, Denied, GateBounds, admit};
+pub use gate::{AdmissionBounds, AdmissionRequest, Admitted, Denied, admit};
 pub use job::Job;
-pub use limits::{BadLimit, HeardLimit, LimitWord, Limits, NamedLimit, WordIn};
-pub use load::{EndpointLoad, Held, LoadBook, Reader, Work, WorkId, Writer};
+pub use limits::{KnownLimit, LimitSignal, LimitSource, LimitUpdate, Limits, MalformedLimit};
+pub use load::{DecodeTask, EndpointLoad, HelperMemory, LoadTracker, PrefillTask, Work, WorkId};
 pub use outbox::Outbox;
-pub use pace::{ASK_LIMITED_AGAIN, Pace, PaceAsks, overdue_after};
-pub use pause::{LONGEST_REST, Pauses, asking_factor};
-pub use peers::{Arbiter, HEARTBEAT, Heard, Holds, Part, Peers, SILENCE};
-pub use places::{InLine, Places};
-pub use quarantine::{EndedProcess, HELD_AT, Quarantine, SuspectState, Suspicion};
-pub use reader::{MEMBER_READ_AGE_MS, READ_AGE_MS, Readers};
-pub use replica::{Adopted, Replica};
-pub use reservation::{HOLD, OrderAnswer, RENEW, Ticket, TicketId};
-pub use schedulers::{Role, SCHEDULERS, Standing};
-pub use second_run::second_run_at;
+pub use pace::{LIMITED_QUERY_INTERVAL, Pace, PaceQueries, overdue_after};
+pub use pause::{MAX_SECONDARY_BACKOFF, StoreBackoff, fleet_backoff_factor};
+pub use peers::{
+    Arbiter, CopyVersions, HEARTBEAT_INTERVAL, PEER_TIMEOUT, PeerObservation, PeerStatus, Peers,
+};
+pub use places::{PermitWaiter, Permits};
+pub use quarantine::{EndedProcess, Quarantine, STRIKES_TO_HOLD, SuspectState, Suspicion};
+pub use reader::{MEMBER_READ_AGE_MS, READ_AGE_MS, StoreReaders};
+pub use replica::{OfferResult, Replica};
+pub use reservation::{
+    RESERVATION_RENEWAL, RESERVATION_TTL, Reservation, ReservationId, ReservationReply,
+};
+pub use schedulers::{InstanceRank, Role, SCHEDULERS_PER_DATA_CENTRE};
+pub use second_run::hedge_at;
 pub use signals::{Draining, EndpointSignals, MalformedSignal, Signal};
 pub use snapshot::{
-    Account, CallerLimits, ConfigVersion, Repeat, Route, RouteEntry, Service, Snapshot,
-    SnapshotParts, Split,
+    Account, CallerLimits, ConfigVersion, RepeatPolicy, Route, RouteEntry, Service, Snapshot,
+    SnapshotParts, WeightedService,
 };
-pub use trust::{TrustBook, TrustEvent};
-pub use turns::{Claim, Turn, turn};
-pub use view::View;
-pub use waiting::Waiting;
+pub use trust::{HealthEvent, HealthTracker};
+pub use turns::{QueuedPrompt, Turn, decide_turn};
+pub use view::FleetView;
+pub use waiting::WaitingPrompt;
 pub use weights::PlacementWeights;
--- a/crates/ringbend-gateway/src/limits.rs
+++ b/crates/ringbend-gateway/src/limits.rs
@@ -29,53 +29,53 @@
 
 /// Why what an answer says of a limit cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BadLimit {
+pub enum MalformedLimit {
     /// It is no text.
     NotText,
     /// It is said more than once.
-    Twice,
+    Duplicate,
     /// It is no rate of requests.
     Rate(ParseDecimalError),
 }
 
-impl fmt::Display for BadLimit {
+impl fmt::Display for MalformedLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotText => f.write_str("no text"),
-            Self::Twice => f.write_str("said more than once"),
+            Self::Duplicate => f.write_str("said more than once"),
             Self::Rate(e) => e.fmt(f),
         }
     }
 }
 
-impl std::error::Error for BadLimit {}
+impl std::error::Error for MalformedLimit {}
 
 /// What an endpoint's answer says of its limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum LimitWord {
+pub enum LimitSignal {
     /// Nothing: it takes what comes.
     #[default]
     None,
     /// It takes so many requests from all instances together.
-    Names(RequestRate),
+    Rate(RequestRate),
     /// Something that cannot be read. What it said before holds on.
-    Bad(BadLimit),
+    Malformed(MalformedLimit),
 }
 
 /// Which answer an endpoint's word comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WordIn {
+pub enum LimitSource {
     /// The answer to a request of a caller.
-    Answer,
+    Response,
     /// What it says when it is asked how it is. Not every endpoint names its limit there.
     Report,
     /// The answer to an order, where a limit that is not named says nothing.
-    Order,
+    Reservation,
 }
 
 /// What is known of one endpoint's limit, as instances tell each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NamedLimit {
+pub struct KnownLimit {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// When its process started, if endpoints tell. One that starts again has no limit until it names one.
@@ -86,7 +86,7 @@
     pub rate: Option<RequestRate>,
 }
 
-impl NamedLimit {
+impl KnownLimit {
     /// Whether the other is about an earlier process of the endpoint.
     fn is_after(&self, other: Option<EndpointStart>) -> bool {
         self.start.zip(other).is_some_and(|(own, other)| own > other)
@@ -107,18 +107,18 @@
 
 /// What an answer's word means for what is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeardLimit {
+pub enum LimitUpdate {
     /// Nothing new.
-    Known,
+    Unchanged,
     /// Something else is known now.
     Changed,
     /// It cannot be read, where the last word could.
-    Bad(BadLimit),
+    Malformed(MalformedLimit),
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
-    known: NamedLimit,
+    known: KnownLimit,
     /// When this instance last heard something new.
     changed: Timestamp,
     /// When this instance last heard or was told that it names a limit.
@@ -130,11 +130,11 @@
 
 impl Entry {
     /// Whether the limit has ended if it is not named there.
-    fn ends_by(&self, from: WordIn) -> bool {
+    fn ends_by(&self, from: LimitSource) -> bool {
         match from {
-            WordIn::Answer => true,
-            WordIn::Report => self.in_report,
-            WordIn::Order => false,
+            LimitSource::Response => true,
+            LimitSource::Report => self.in_report,
+            LimitSource::Reservation => false,
         }
     }
 }
@@ -150,66 +150,66 @@
     ///
     /// Answers overtake each other, so one without a limit ends it only if it was asked for after the
     /// limit was last named.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         now: Timestamp,
         endpoint: &Endpoint,
         asked: Timestamp,
-        word: LimitWord,
-        from: WordIn,
-    ) -> HeardLimit {
+        word: LimitSignal,
+        from: LimitSource,
+    ) -> LimitUpdate {
         self.forget_former(endpoint);
         let Some(entry) = self.entries.get_mut(&endpoint.id) else {
             return self.first_word(now, endpoint, word, from);
         };
         if entry.known.is_after(endpoint.start) {
-            return HeardLimit::Known;
+            return LimitUpdate::Unchanged;
         }
         let rate = match word {
-            LimitWord::Bad(why) => {
+            LimitSignal::Malformed(why) => {
                 let was_bad = std::mem::replace(&mut entry.is_bad, true);
-                return if was_bad { HeardLimit::Known } else { HeardLimit::Bad(why) };
+                return if was_bad { LimitUpdate::Unchanged } else { LimitUpdate::Malformed(why) };
             }
-            LimitWord::Names(rate) => Some(rate),
-            LimitWord::None => None,
+            LimitSignal::Rate(rate) => Some(rate),
+            LimitSignal::None => None,
         };
         entry.is_bad = false;
         if rate.is_some() {
             entry.named = now;
-            entry.in_report |= from == WordIn::Report;
+            entry.in_report |= from == LimitSource::Report;
         } else if asked <= entry.named || !entry.ends_by(from) {
-            return HeardLimit::Known;
+            return LimitUpdate::Unchanged;
         }
         if entry.known.rate == rate {
-            return HeardLimit::Known;
+            return LimitUpdate::Unchanged;
         }
         entry.known.rate = rate;
         entry.known.version += 1;
         entry.changed = now;
         entry.in_report &= rate.is_some();
-        HeardLimit::Changed
+        LimitUpdate::Changed
     }
 
     fn first_word(
         &mut self,
         now: Timestamp,
         endpoint: &Endpoint,
-        word: LimitWord,
-        from: WordIn,
-    ) -> HeardLimit {
+        word: LimitSignal,
+        from: LimitSource,
+    ) -> LimitUpdate {
         let (rate, heard) = match word {
-            LimitWord::None => return HeardLimit::Known,
-            LimitWord::Names(rate) => (Some(rate), HeardLimit::Changed),
-            LimitWord::Bad(why) => (None, HeardLimit::Bad(why)),
+            LimitSignal::None => return LimitUpdate::Unchanged,
+            LimitSignal::Rate(rate) => (Some(rate), LimitUpdate::Changed),
+            LimitSignal::Malformed(why) => (None, LimitUpdate::Malformed(why)),
         };
         let (id, start) = (endpoint.id.clone(), endpoint.start);
         let version = u64::from(rate.is_some());
-        let known = NamedLimit { endpoint: id, start, version, rate };
-        self.insert(now, known, from == WordIn::Report, rate.is_none());
+        let known = KnownLimit { endpoint: id, start, version, rate };
+        self.insert(now, known, from == LimitSource::Report, rate.is_none());
         heard
     }
 
-    fn insert(&mut self, now: Timestamp, known: NamedLimit, in_report: bool, is_bad: bool) {
+    fn insert(&mut self, now: Timestamp, known: KnownLimit, in_report: bool, is_bad: bool) {
         if self.entries.len() >= MOST_KEPT {
             let least = self.entries.iter().min_by_key(|(_, e)| (e.known.rate.is_some(), e.named));
             if let Some(least) = least.map(|(id, _)| id.clone()) {
@@ -231,7 +231,7 @@
     }
 
     /// Takes in what another instance knows. Returns whether something else is known now.
-    pub fn merge(&mut self, now: Timestamp, told: &NamedLimit) -> bool {
+    pub fn merge(&mut self, now: Timestamp, told: &KnownLimit) -> bool {
         let Some(entry) = self.entries.get_mut(&told.endpoint) else {
             self.insert(now, told.clone(), false, false);
             return told.rate.is_some();
@@ -251,7 +251,7 @@
     }
 
     /// What an endpoint takes from all instances together; none if it takes what comes.
-    pub fn of(&self, endpoint: &Endpoint) -> Option<RequestRate> {
+    pub fn rate(&self, endpoint: &Endpoint) -> Option<RequestRate> {
         let known = &self.entries.get(&endpoint.id)?.known;
         let is_former = endpoint.start.zip(known.start).is_some_and(|(new, old)| new > old);
         known.rate.filter(|_| !is_former)
@@ -263,23 +263,23 @@
     }
 
     /// What is known of this endpoint.
-    pub fn known(&self, endpoint: &EndpointId) -> Option<&NamedLimit> {
+    pub fn known(&self, endpoint: &EndpointId) -> Option<&KnownLimit> {
         self.entries.get(endpoint).map(|entry| &entry.known)
     }
 
     /// What is known of each endpoint that names a limit.
-    pub fn all(&self) -> impl Iterator<Item = &NamedLimit> {
+    pub fn all(&self) -> impl Iterator<Item = &KnownLimit> {
         self.entries.values().map(|entry| &entry.known).filter(|known| known.rate.is_some())
     }
 
     /// What has changed lately, to be told again.
-    pub fn recent(&self, now: Timestamp) -> impl Iterator<Item = &NamedLimit> {
+    pub fn recent(&self, now: Timestamp) -> impl Iterator<Item = &KnownLimit> {
         let recent = move |entry: &&Entry| now.since(entry.changed) < TOLD_AGAIN;
         self.entries.values().filter(recent).map(|entry| &entry.known)
     }
 
     /// Whether nothing is remembered of any endpoint.
-    pub fn is_unknown(&self) -> bool {
+    pub fn has_no_records(&self) -> bool {
         self.entries.is_empty()
     }
 
--- a/crates/ringbend-gateway/src/load.rs
+++ b/crates/ringbend-gateway/src/load.rs
@@ -8,7 +8,7 @@
 
 use crate::pace::Pace;
 use crate::suspect_work::SuspectWork;
-use crate::waiting::Waiting;
+use crate::waiting::WaitingPrompt;
 
 /// Names one request's work over all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -31,7 +31,7 @@
     /// Memory that it takes on the lead, in tokens.
     pub memory_tokens: u64,
     /// Memory that is held for it on helpers.
-    pub held: SmallVec<[Held; 2]>,
+    pub held: SmallVec<[HelperMemory; 2]>,
     /// The longest pause between events that its caller takes for on time.
     pub gap: Duration,
     /// When its first event is due.
@@ -48,7 +48,7 @@
 
 /// Memory on a helper that holds a part of a prompt which is too large for its lead.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct HelperMemory {
     /// The helper.
     pub endpoint: EndpointId,
     /// How much, in tokens.
@@ -68,7 +68,7 @@
 
 /// A request that writes on an endpoint, or will once its prompt is read.
 #[derive(Debug, Clone, Copy)]
-pub struct Writer {
+pub struct DecodeTask {
     id: WorkId,
     /// Whether its first event has come.
     pub writing: bool,
@@ -84,7 +84,7 @@
     late: bool,
 }
 
-impl Writer {
+impl DecodeTask {
     /// How long the engine may read from `now` on before this request is late.
     pub fn limit(&self, now: Timestamp) -> Duration {
         if self.writing { self.gap } else { self.first_by.since(now) }
@@ -93,7 +93,7 @@
 
 /// A prompt, or a part of one, that waits to be read or is being read.
 #[derive(Debug, Clone, Copy)]
-pub struct Reader {
+pub struct PrefillTask {
     id: WorkId,
     /// How long it takes to read what is left.
     pub left: Duration,
@@ -110,14 +110,14 @@
 #[derive(Debug, Clone, Default)]
 pub struct EndpointLoad {
     /// Parts of split prompts, the oldest first.
-    parts: Vec<Reader>,
+    parts: Vec<PrefillTask>,
     /// Whole prompts, the oldest first.
-    wholes: Vec<Reader>,
+    wholes: Vec<PrefillTask>,
     /// Up to when reading has been taken off.
     advanced: Timestamp,
     /// The longest part that it was lately given, and when.
     part: (Duration, Timestamp),
-    writers: SmallVec<[Writer; 8]>,
+    writers: SmallVec<[DecodeTask; 8]>,
     memory_tokens: u64,
     pace: Pace,
     /// Up to when its pace is believed, if it is slow.
@@ -152,20 +152,20 @@
     }
 
     /// What waits to be read, in the order in which it will be.
-    pub fn readers(&self) -> impl Iterator<Item = &Reader> {
+    pub fn prefills(&self) -> impl Iterator<Item = &PrefillTask> {
         self.parts.iter().rev().chain(&self.wholes)
     }
 
     /// The requests that write on it or will.
-    pub fn writers(&self) -> &[Writer] {
+    pub fn decodes(&self) -> &[DecodeTask] {
         &self.writers
     }
 
     /// Those whose next event waits for nothing but a pass: their prompts have been read, or will be
     /// within the next passes, though word of their first event may not have come.
-    pub(crate) fn about_to_write(&self) -> impl Iterator<Item = &Writer> {
-        let is_read = |writer: &Writer| {
-            let left = self.readers().find(|reader| reader.id == writer.id).map(|r| r.left);
+    pub(crate) fn about_to_write(&self) -> impl Iterator<Item = &DecodeTask> {
+        let is_read = |writer: &DecodeTask| {
+            let left = self.prefills().find(|reader| reader.id == writer.id).map(|r| r.left);
             left.is_none_or(|left| left <= NEARLY_READ)
         };
         self.writers.iter().filter(move |writer| writer.writing || is_read(writer))
@@ -216,7 +216,7 @@
         self.wholes.retain(|reader| !reader.left.is_zero());
     }
 
-    fn add(&mut self, now: Timestamp, reader: Reader, is_part: bool) {
+    fn add(&mut self, now: Timestamp, reader: PrefillTask, is_part: bool) {
         if self.usual_part(now) < reader.left {
             self.part = (reader.left, now);
         }
@@ -251,10 +251,10 @@
 
 /// The load of all endpoints.
 #[derive(Debug, Clone, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     open: HashMap<WorkId, Open>,
     suspects: SuspectWork,
-    waiting: BTreeMap<WorkId, Waiting>,
+    waiting: BTreeMap<WorkId, WaitingPrompt>,
     endpoints: BTreeMap<EndpointId, EndpointLoad>,
     swept_at: Timestamp,
     /// What is told of an endpoint that nothing runs on.
@@ -271,7 +271,7 @@
 /// How often work that outlived its deadline is looked for.
 const SWEEP_EVERY: Duration = Duration::from_millis(500);
 
-impl LoadBook {
+impl LoadTracker {
     /// Takes off what endpoints have read until `now`.
     pub fn advance(&mut self, now: Timestamp) {
         self.endpoints.values_mut().for_each(|load| load.advance(now));
@@ -298,7 +298,7 @@
         self.end(now, id);
         let Work { part: left, first_by, stake, .. } = work;
         let is_part = !work.helpers.is_empty();
-        let reader = Reader { id, left, first_by, stake: stake / work.part_count().sqrt() };
+        let reader = PrefillTask { id, left, first_by, stake: stake / work.part_count().sqrt() };
         for endpoint in work.endpoints() {
             let load = self.endpoints.entry(endpoint.clone()).or_default();
             load.advance(now);
@@ -307,7 +307,15 @@
         }
         let lead = self.endpoints.entry(work.lead.clone()).or_default();
         let Work { gap, first_by, stake, long, .. } = work;
-        lead.writers.push(Writer { id, writing: false, gap, first_by, stake, long, late: false });
+        lead.writers.push(DecodeTask {
+            id,
+            writing: false,
+            gap,
+            first_by,
+            stake,
+            long,
+            late: false,
+        });
         lead.memory_tokens += work.memory_tokens;
         for held in &work.held {
             let load = self.endpoints.entry(held.endpoint.clone()).or_default();
@@ -321,7 +329,7 @@
 
     /// Notes work that another instance tells of. What is known already stays as it is, so that
     /// hearing of it again does not begin its reading anew.
-    pub fn place_told(&mut self, now: Timestamp, id: WorkId, work: Work, writing: bool) {
+    pub fn merge_placed(&mut self, now: Timestamp, id: WorkId, work: Work, writing: bool) {
         let known = self.open.get(&id).map(|open| &open.work);
         if known.is_none_or(|known| known.lead != work.lead || known.helpers != work.helpers) {
             self.place(now, id, work);
@@ -394,9 +402,9 @@
         now: Timestamp,
         endpoint: &'a EndpointId,
     ) -> impl Iterator<Item = Fingerprint> + 'a {
-        let is_there = move |work: &Work| work.endpoints().any(|on| on == endpoint);
+        let runs_there = move |work: &Work| work.endpoints().any(|on| on == endpoint);
         let open =
-            self.suspect_work().filter_map(move |work| work.suspect.filter(|_| is_there(work)));
+            self.suspect_work().filter_map(move |work| work.suspect.filter(|_| runs_there(work)));
         open.chain(self.suspects.left(now, endpoint))
     }
 
@@ -406,7 +414,7 @@
 
     /// Forgets the work on an endpoint whose process has ended: what it led is over, and what it was to
     /// read of others will not be read.
-    pub fn lose_endpoint(&mut self, now: Timestamp, endpoint: &EndpointId) {
+    pub fn remove_endpoint(&mut self, now: Timestamp, endpoint: &EndpointId) {
         let led = self.open.iter().filter(|(_, open)| open.work.lead == *endpoint);
         for id in led.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.end(now, id);
@@ -446,12 +454,12 @@
     }
 
     /// Notes a long prompt that waits for its turn.
-    pub fn wait(&mut self, id: WorkId, waiting: Waiting) {
+    pub fn wait(&mut self, id: WorkId, waiting: WaitingPrompt) {
         self.waiting.insert(id, waiting);
     }
 
     /// The long prompts that wait for their turn at any instance.
-    pub fn waiting(&self) -> impl Iterator<Item = (WorkId, &Waiting)> {
+    pub fn waiting(&self) -> impl Iterator<Item = (WorkId, &WaitingPrompt)> {
         self.waiting.iter().map(|(id, waiting)| (*id, waiting))
     }
 
@@ -466,7 +474,7 @@
     }
 
     /// The prompt that waits under this name.
-    pub fn waits(&self, id: WorkId) -> Option<&Waiting> {
+    pub fn waiting_prompt(&self, id: WorkId) -> Option<&WaitingPrompt> {
         self.waiting.get(&id)
     }
 
--- a/crates/ringbend-gateway/src/outbox.rs
+++ b/crates/ringbend-gateway/src/outbox.rs
@@ -4,7 +4,7 @@
 
 use crate::load::WorkId;
 use crate::pace::Pace;
-use crate::trust::TrustEvent;
+use crate::trust::HealthEvent;
 
 /// What is still to be told to other instances. Work is this instance's own, or that of instances
 /// which it schedules for.
@@ -23,23 +23,23 @@
     /// Endpoints that have started again, by their own word.
     pub restarts: Vec<(EndpointId, EndpointStart)>,
     /// Engines that were slower than expected, for whoever asks them.
-    pub suspects: Vec<EndpointId>,
+    pub slow_engines: Vec<EndpointId>,
     /// How much slower than configured engines are.
     pub paces: Vec<(EndpointId, Pace)>,
     /// Starts of instances that have ended, whose work has ended with them.
-    pub gone: Vec<u64>,
+    pub ended_instances: Vec<u64>,
     /// How this instance's requests went at endpoints; for the one that schedules for it.
-    pub results: Vec<(EndpointId, TrustEvent)>,
+    pub results: Vec<(EndpointId, HealthEvent)>,
     /// Requests that are suspected of ending endpoints, or no more, for all instances.
     pub suspicions: Vec<Fingerprint>,
     /// The same, for those of this data centre that do not schedule.
-    pub suspicions_at_home: Vec<Fingerprint>,
+    pub local_suspicions: Vec<Fingerprint>,
     /// Endpoints whose limit is another now, for all instances.
     pub limits: Vec<EndpointId>,
     /// The same, for those of this data centre that do not schedule.
-    pub limits_at_home: Vec<EndpointId>,
+    pub local_limits: Vec<EndpointId>,
     /// Endpoints that are now known to be draining, for all instances.
     pub drains: Vec<EndpointId>,
     /// The same, for those of this data centre that do not schedule.
-    pub drains_at_home: Vec<EndpointId>,
+    pub local_drains: Vec<EndpointId>,
 }
--- a/crates/ringbend-gateway/src/pace.rs
+++ b/crates/ringbend-gateway/src/pace.rs
@@ -70,7 +70,7 @@
 const ASK_AGAIN: Duration = Duration::from_millis(700);
 
 /// The same for an engine that names a limit: it may count questions as requests.
-pub const ASK_LIMITED_AGAIN: Duration = Duration::from_secs(2);
+pub const LIMITED_QUERY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How much later than expected a first event is a reason to ask: more than the pass that most first
 /// events wait for.
@@ -86,15 +86,15 @@
 
 /// Which engines were asked for their pace, and when.
 #[derive(Debug, Clone, Default)]
-pub struct PaceAsks {
+pub struct PaceQueries {
     asked: BTreeMap<EndpointId, Timestamp>,
 }
 
-impl PaceAsks {
+impl PaceQueries {
     /// Whether the engine should be asked now; notes that it is. One that names a limit is asked more seldom.
     pub fn begin(&mut self, now: Timestamp, engine: &EndpointId, is_limited: bool) -> bool {
-        self.asked.retain(|_, at| now.since(*at) < ASK_LIMITED_AGAIN);
-        let again = if is_limited { ASK_LIMITED_AGAIN } else { ASK_AGAIN };
+        self.asked.retain(|_, at| now.since(*at) < LIMITED_QUERY_INTERVAL);
+        let again = if is_limited { LIMITED_QUERY_INTERVAL } else { ASK_AGAIN };
         if self.asked.get(engine).is_some_and(|at| now.since(*at) < again) {
             return false;
         }
--- a/crates/ringbend-gateway/src/pause.rs
+++ b/crates/ringbend-gateway/src/pause.rs
@@ -17,37 +17,37 @@
 
 /// How long a watch of a further table leaves a lost store to the first one, at most: it must hear
 /// within that time of what others know, whatever it missed.
-pub const LONGEST_REST: Duration = Duration::from_secs(3);
+pub const MAX_SECONDARY_BACKOFF: Duration = Duration::from_secs(3);
 
 /// The least share of a pause that is waited.
 const LEAST_SHARE: f64 = 0.33;
 
 /// How much longer than alone an instance waits between calls to a lost store: one that reaches it
 /// again tells all others.
-pub fn asking_factor(instances: usize) -> f64 {
+pub fn fleet_backoff_factor(instances: usize) -> f64 {
     (instances as f64 / ASKING_INSTANCES).max(1.0)
 }
 
 /// The pauses of one watch.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Pauses {
+pub struct StoreBackoff {
     failures: u32,
 }
 
-impl Pauses {
+impl StoreBackoff {
     /// Notes that a call was answered.
-    pub fn answered(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
     /// The pause after a call that failed, where so many instances are known; `draw` lies in
     /// `0.0..1.0`. The watch that notices first that the store is back for all others, the sentinel,
     /// asks the less often the more there are; any other is bounded.
-    pub fn next(&mut self, instances: usize, is_sentinel: bool, draw: f64) -> Duration {
+    pub fn next_delay(&mut self, instances: usize, is_sentinel: bool, draw: f64) -> Duration {
         let longest = (FIRST_PAUSE * 2u32.saturating_pow(self.failures)).min(LONGEST_PAUSE);
         self.failures += 1;
         let share = LEAST_SHARE + draw * (1.0 - LEAST_SHARE);
-        let pause = longest.mul_f64(share * asking_factor(instances));
-        if is_sentinel { pause } else { pause.min(LONGEST_REST) }
+        let pause = longest.mul_f64(share * fleet_backoff_factor(instances));
+        if is_sentinel { pause } else { pause.min(MAX_SECONDARY_BACKOFF) }
     }
 }
--- a/crates/ringbend-gateway/src/peers.rs
+++ b/crates/ringbend-gateway/src/peers.rs
@@ -13,15 +13,15 @@
 
 use ringbend_types::{DataCentre, Timestamp};
 
-use crate::schedulers::{Role, Standing};
+use crate::schedulers::{InstanceRank, Role};
 use crate::snapshot::ConfigVersion;
 
-/// How long a silent peer still counts as there. A datagram goes out every `HEARTBEAT` at least, so
+/// How long a silent peer still counts as there. A datagram goes out every `HEARTBEAT_INTERVAL` at least, so
 /// three in a row were lost or not sent.
-pub const SILENCE: Duration = Duration::from_millis(3_500);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// The longest time between two digests to a peer.
-pub const HEARTBEAT: Duration = Duration::from_secs(1);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a silent peer is still told things, in case only its own digests were lost.
 const FORGET: Duration = Duration::from_secs(30);
@@ -42,7 +42,7 @@
 
 /// How far a peer's copies of the watched tables go, as it told last.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Holds {
+pub struct CopyVersions {
     /// The configuration in force there.
     pub config: ConfigVersion,
     /// How far it knows the changes of the endpoints' table.
@@ -51,7 +51,7 @@
 
 /// What an instance tells of its part among the others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct PeerStatus {
     /// What it does for the others of its data centre.
     pub role: Role,
     /// How many instances it knows in its data centre, itself included.
@@ -65,10 +65,10 @@
     heard: Option<(Timestamp, u64)>,
     since: Timestamp,
     greeted_at: Option<Timestamp>,
-    holds: Holds,
+    holds: CopyVersions,
     data_centre: Option<DataCentre>,
     capacity: u32,
-    part: Part,
+    part: PeerStatus,
     doubted_at: Option<Timestamp>,
 }
 
@@ -78,16 +78,16 @@
             heard: None,
             since: now,
             greeted_at: None,
-            holds: Holds::default(),
+            holds: CopyVersions::default(),
             data_centre: None,
             capacity: 0,
-            part: Part::default(),
+            part: PeerStatus::default(),
             doubted_at: None,
         }
     }
 
-    fn is_there(&self, now: Timestamp) -> bool {
-        self.was_heard_within(now, SILENCE)
+    fn is_alive(&self, now: Timestamp) -> bool {
+        self.was_heard_within(now, PEER_TIMEOUT)
     }
 
     fn was_heard_within(&self, now: Timestamp, time: Duration) -> bool {
@@ -111,7 +111,7 @@
 
 /// What a received digest means for the book.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum PeerObservation {
     /// A peer that was there.
     Known,
     /// A peer that was not there or started anew; its earlier work, if any, has ended.
@@ -125,7 +125,7 @@
 #[derive(Debug, Clone)]
 pub struct Peers {
     home: DataCentre,
-    own: Standing,
+    own: InstanceRank,
     role: Role,
     /// Until when it looks for others before it takes up scheduling.
     starts_until: Timestamp,
@@ -136,7 +136,7 @@
 
 impl Peers {
     /// An instance in `home` that starts and knows of no other.
-    pub fn new(now: Timestamp, home: DataCentre, own: Standing) -> Self {
+    pub fn new(now: Timestamp, home: DataCentre, own: InstanceRank) -> Self {
         Self {
             home,
             own,
@@ -148,27 +148,34 @@
     }
 
     /// Sets where this instance listens, once it does.
-    pub fn listens_at(&mut self, address: SocketAddrV4) {
-        self.own = Standing::new(self.own.capacity(), address);
+    pub fn set_own_address(&mut self, address: SocketAddrV4) {
+        self.own = InstanceRank::new(self.own.capacity(), address);
     }
 
     /// Notes that an instance is said to be at `address`.
-    pub fn told(&mut self, now: Timestamp, address: SocketAddrV4) {
+    pub fn add(&mut self, now: Timestamp, address: SocketAddrV4) {
         if self.peers.len() < MAX_PEERS {
             self.peers.entry(address).or_insert_with(|| Peer::new(now));
         }
     }
 
     /// Notes a digest from `address`.
-    pub fn heard(&mut self, now: Timestamp, address: SocketAddrV4, incarnation: u64) -> Heard {
-        self.told(now, address);
-        let Some(peer) = self.peers.get_mut(&address) else { return Heard::Known };
+    pub fn record_digest(
+        &mut self,
+        now: Timestamp,
+        address: SocketAddrV4,
+        incarnation: u64,
+    ) -> PeerObservation {
+        self.add(now, address);
+        let Some(peer) = self.peers.get_mut(&address) else { return PeerObservation::Known };
         let before = peer.heard.replace((now, incarnation));
         match before {
-            Some((at, same)) if same == incarnation && now.since(at) < SILENCE => Heard::Known,
+            Some((at, same)) if same == incarnation && now.since(at) < PEER_TIMEOUT => {
+                PeerObservation::Known
+            }
             _ => {
                 let replaced = before.map(|(_, other)| other).filter(|other| *other != incarnation);
-                Heard::New { replaced }
+                PeerObservation::New { replaced }
             }
         }
     }
@@ -182,21 +189,25 @@
     }
 
     /// Notes what the instance at `address` tells of its part.
-    pub fn takes_part(&mut self, address: SocketAddrV4, part: Part) {
+    pub fn set_status(&mut self, address: SocketAddrV4, part: PeerStatus) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.part = part;
         }
     }
 
     /// Notes how far the copies at `address` go.
-    pub fn holds(&mut self, address: SocketAddrV4, holds: Holds) {
+    pub fn set_copy_versions(&mut self, address: SocketAddrV4, holds: CopyVersions) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.holds = holds;
         }
     }
 
     /// The instances whose copies go as far as is `wanted`: those at home if there are any.
-    pub fn holders(&self, now: Timestamp, wanted: impl Fn(Holds) -> bool) -> Vec<SocketAddrV4> {
+    pub fn holders(
+        &self,
+        now: Timestamp,
+        wanted: impl Fn(CopyVersions) -> bool,
+    ) -> Vec<SocketAddrV4> {
         let holders = || self.there(now).filter(|(_, peer)| wanted(peer.holds));
         let near = holders().filter(|(_, peer)| peer.runs_in(&self.home));
         let near: Vec<SocketAddrV4> = near.map(|(address, _)| address).collect();
@@ -209,17 +220,17 @@
     }
 
     /// Notes that the instance at `address` stops.
-    pub fn left(&mut self, address: SocketAddrV4) {
+    pub fn remove(&mut self, address: SocketAddrV4) {
         self.peers.remove(&address);
     }
 
     /// Whether the instance that is said to be at `address` should be greeted: it is not heard, and
     /// has had the time to answer an earlier greeting. Notes that it is.
-    pub fn greets(&mut self, now: Timestamp, address: SocketAddrV4) -> bool {
-        self.told(now, address);
+    pub fn begin_greeting(&mut self, now: Timestamp, address: SocketAddrV4) -> bool {
+        self.add(now, address);
         let Some(peer) = self.peers.get_mut(&address) else { return false };
         let waits = peer.greeted_at.is_some_and(|at| now.since(at) < ANSWER_TIME);
-        if peer.is_there(now) || waits {
+        if peer.is_alive(now) || waits {
             return false;
         }
         peer.greeted_at = Some(now);
@@ -227,8 +238,8 @@
     }
 
     /// Whether the instance at `address` is heard.
-    pub fn is_there(&self, now: Timestamp, address: SocketAddrV4) -> bool {
-        self.peers.get(&address).is_some_and(|peer| peer.is_there(now))
+    pub fn is_alive(&self, now: Timestamp, address: SocketAddrV4) -> bool {
+        self.peers.get(&address).is_some_and(|peer| peer.is_alive(now))
     }
 
     /// All addresses that are known.
@@ -239,7 +250,7 @@
     /// How many instances are there, this one included: those that are heard, and those that
     /// schedulers tell of.
     pub fn instances(&self, now: Timestamp) -> usize {
-        let heard = self.count_by_centre(|peer| peer.is_there(now));
+        let heard = self.count_by_centre(|peer| peer.is_alive(now));
         if self.schedules() {
             return heard;
         }
@@ -268,7 +279,7 @@
     }
 
     /// How many instances of its data centre this one hears, itself included.
-    pub fn instances_at_home(&self, now: Timestamp) -> usize {
+    pub fn local_instances(&self, now: Timestamp) -> usize {
         self.there(now).filter(|(_, peer)| peer.runs_in(&self.home)).count() + 1
     }
 
@@ -276,7 +287,7 @@
     /// work is no longer believed in, with their addresses.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<(SocketAddrV4, u64)> {
         let silent = |(address, peer): (&SocketAddrV4, &Peer)| match peer.heard {
-            Some((at, start)) if now.since(at) >= SILENCE => Some((*address, start)),
+            Some((at, start)) if now.since(at) >= PEER_TIMEOUT => Some((*address, start)),
             _ => None,
         };
         let starts = self.peers.iter().filter_map(silent).collect();
@@ -288,6 +299,6 @@
     }
 
     fn there(&self, now: Timestamp) -> impl Iterator<Item = (SocketAddrV4, &Peer)> {
-        self.peers.iter().filter(move |(_, p)| p.is_there(now)).map(|(a, peer)| (*a, peer))
+        self.peers.iter().filter(move |(_, p)| p.is_alive(now)).map(|(a, peer)| (*a, peer))
     }
 }
--- a/crates/ringbend-gateway/src/peers/roles.rs
+++ b/crates/ringbend-gateway/src/peers/roles.rs
@@ -9,7 +9,7 @@
 use smallvec::SmallVec;
 
 use super::{Peer, Peers};
-use crate::schedulers::{Role, SCHEDULERS, Standing};
+use crate::schedulers::{InstanceRank, Role, SCHEDULERS_PER_DATA_CENTRE};
 
 /// How long an instance that hears no scheduler any more waits before it becomes one: the last one
 /// may have named others, which are being greeted.
@@ -22,17 +22,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arbiter {
     /// This one.
-    Own,
+    Local,
     /// The one that listens there.
-    At(SocketAddrV4),
+    Remote(SocketAddrV4),
 }
 
 impl Arbiter {
     /// Where it listens; none if it is this instance.
     pub fn address(self) -> Option<SocketAddrV4> {
         match self {
-            Self::At(address) => Some(address),
-            Self::Own => None,
+            Self::Remote(address) => Some(address),
+            Self::Local => None,
         }
     }
 }
@@ -50,13 +50,13 @@
 
     /// Takes up scheduling, as another scheduler asks for it, or as too few are said to be better
     /// placed.
-    pub fn called_up(&mut self) {
+    pub fn become_scheduler(&mut self) {
         self.role = Role::Scheduler;
     }
 
     /// Whether too few of these instances are better placed for this one to leave scheduling to them.
-    pub fn is_needed_beside(&self, others: impl Iterator<Item = Standing>) -> bool {
-        others.filter(|standing| *standing < self.own).count() < SCHEDULERS
+    pub fn is_needed_beside(&self, others: impl Iterator<Item = InstanceRank>) -> bool {
+        others.filter(|standing| *standing < self.own).count() < SCHEDULERS_PER_DATA_CENTRE
     }
 
     /// Looks at this instance's role again. True if it has changed.
@@ -64,7 +64,7 @@
     /// One that schedules goes on until enough better placed ones of its data centre do. One that
     /// starts leaves it to such that schedule or start as well; those will not leave it to this one.
     /// One that does not schedule begins once it has heard none that does for a moment.
-    pub fn review(&mut self, now: Timestamp) -> bool {
+    pub fn update_role(&mut self, now: Timestamp) -> bool {
         if self.standings(now, &self.home, Peer::schedules).next().is_some() {
             self.served_at = now;
         }
@@ -87,13 +87,13 @@
     }
 
     /// The other schedulers: the best placed of each data centre.
-    pub fn fellows(&self, now: Timestamp) -> Vec<SocketAddrV4> {
+    pub fn other_schedulers(&self, now: Timestamp) -> Vec<SocketAddrV4> {
         self.best_of_each(now, Peer::schedules)
     }
 
     /// Those that are or may have become the other schedulers: one that was heard while it started has not told
     /// this one what it became.
-    pub fn likely_fellows(&self, now: Timestamp) -> Vec<SocketAddrV4> {
+    pub fn likely_other_schedulers(&self, now: Timestamp) -> Vec<SocketAddrV4> {
         self.best_of_each(now, |peer| peer.part.role != Role::Member)
     }
 
@@ -111,7 +111,7 @@
     /// Schedulers that have fallen silent. They may be cut off, and hear of the others once they are
     /// not; they are told no more than that this instance is there.
     pub fn silent_schedulers(&self, now: Timestamp) -> impl Iterator<Item = SocketAddrV4> + '_ {
-        let silent = move |peer: &Peer| peer.schedules() && !peer.is_there(now);
+        let silent = move |peer: &Peer| peer.schedules() && !peer.is_alive(now);
         self.peers.iter().filter(move |(_, peer)| silent(peer)).map(|(address, _)| *address)
     }
 
@@ -119,7 +119,7 @@
     /// work: those that do not schedule, and any that schedules beside enough better placed ones, which
     /// leaves it to those once it hears them.
     pub fn members(&self, now: Timestamp) -> impl Iterator<Item = SocketAddrV4> + '_ {
-        let schedulers = self.home_schedulers(now);
+        let schedulers = self.local_schedulers(now);
         let is_member = move |address: SocketAddrV4, peer: &Peer| {
             peer.runs_in(&self.home) && !schedulers.contains(&address)
         };
@@ -127,7 +127,10 @@
     }
 
     /// The schedulers of this data centre: the best placed.
-    pub fn home_schedulers(&self, now: Timestamp) -> SmallVec<[SocketAddrV4; SCHEDULERS]> {
+    pub fn local_schedulers(
+        &self,
+        now: Timestamp,
+    ) -> SmallVec<[SocketAddrV4; SCHEDULERS_PER_DATA_CENTRE]> {
         self.best(now, &self.home, Peer::schedules)
     }
 
@@ -177,7 +180,7 @@
     ///
     /// One that did not answer in time is still the one: of two that count, each would give away the whole limit.
     /// Another takes its part once it is not heard any more.
-    pub fn counter(&self, now: Timestamp, service: &ServiceName) -> Option<Arbiter> {
+    pub fn limit_coordinator(&self, now: Timestamp, service: &ServiceName) -> Option<Arbiter> {
         let usable =
             |_, peer: &Peer| peer.schedules() && peer.was_heard_within(now, COUNTER_SILENCE);
         self.best_for(now, service, usable, self.schedules())
@@ -185,7 +188,7 @@
 
     /// The part of the known instances that is heard, this one included, from zero to one. Those that have fallen
     /// silent may be cut off and send to the same endpoints.
-    pub fn heard_share(&self, now: Timestamp) -> f64 {
+    pub fn reachable_share(&self, now: Timestamp) -> f64 {
         let heard = self.count_by_centre(|peer| peer.was_heard_within(now, COUNTER_SILENCE));
         let known = self.count_by_centre(|peer| peer.heard.is_some());
         heard as f64 / known.max(1) as f64
@@ -213,45 +216,45 @@
         usable: impl Fn(SocketAddrV4, &Peer) -> bool,
         with_own: bool,
     ) -> Option<Arbiter> {
-        let rank = |standing: &Standing| {
+        let rank = |standing: &InstanceRank| {
             let mut hasher = DefaultHasher::new();
             (service.as_str(), standing.address()).hash(&mut hasher);
             (Reverse(standing.capacity()), hasher.finish())
         };
         let others = self.there(now).filter(|(address, peer)| usable(*address, peer));
-        let others = others.map(|(address, peer)| Standing::new(peer.capacity, address));
+        let others = others.map(|(address, peer)| InstanceRank::new(peer.capacity, address));
         let best = others.chain(with_own.then_some(self.own)).min_by_key(rank)?;
-        Some(if best == self.own { Arbiter::Own } else { Arbiter::At(best.address()) })
+        Some(if best == self.own { Arbiter::Local } else { Arbiter::Remote(best.address()) })
     }
 
     /// The scheduler that asks an engine how it is; none if it is this instance. Engines are spread over
     /// all schedulers, so that each is asked once whoever suspects it.
-    pub fn asker(&self, now: Timestamp, engine: &EndpointId) -> Option<SocketAddrV4> {
-        let rank = |standing: &Standing| {
+    pub fn probing_scheduler(&self, now: Timestamp, engine: &EndpointId) -> Option<SocketAddrV4> {
+        let rank = |standing: &InstanceRank| {
             let mut hasher = DefaultHasher::new();
             (engine.as_str(), standing.address()).hash(&mut hasher);
             hasher.finish()
         };
         let others = self.there(now).filter(|(_, peer)| peer.schedules() && !peer.is_doubted(now));
-        let others = others.map(|(address, peer)| Standing::new(peer.capacity, address));
+        let others = others.map(|(address, peer)| InstanceRank::new(peer.capacity, address));
         let asker = others.chain([self.own]).min_by_key(rank)?;
         (asker != self.own).then(|| asker.address())
     }
 
     /// Notes that the scheduler at `address` did not answer in time.
-    pub fn doubt(&mut self, now: Timestamp, address: SocketAddrV4) {
+    pub fn mark_unresponsive(&mut self, now: Timestamp, address: SocketAddrV4) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.doubted_at = Some(now);
         }
     }
 
     /// The instances of this data centre that should schedule as well, the best placed first.
-    pub fn wanted(&self, now: Timestamp) -> Vec<SocketAddrV4> {
+    pub fn promotion_candidates(&self, now: Timestamp) -> Vec<SocketAddrV4> {
         let scheduling = self.standings(now, &self.home, Peer::schedules).count() + 1;
-        let mut members: Vec<Standing> =
+        let mut members: Vec<InstanceRank> =
             self.standings(now, &self.home, |peer| peer.part.role == Role::Member).collect();
         members.sort();
-        let missing = SCHEDULERS.saturating_sub(scheduling);
+        let missing = SCHEDULERS_PER_DATA_CENTRE.saturating_sub(scheduling);
         members.into_iter().take(missing).map(|standing| standing.address()).collect()
     }
 
@@ -260,10 +263,10 @@
         now: Timestamp,
         data_centre: &'a DataCentre,
         is_meant: impl Fn(&Peer) -> bool + 'a,
-    ) -> impl Iterator<Item = Standing> + 'a {
+    ) -> impl Iterator<Item = InstanceRank> + 'a {
         self.there(now)
             .filter(move |(_, peer)| peer.runs_in(data_centre) && is_meant(peer))
-            .map(|(address, peer)| Standing::new(peer.capacity, address))
+            .map(|(address, peer)| InstanceRank::new(peer.capacity, address))
     }
 
     fn best(
@@ -271,9 +274,12 @@
         now: Timestamp,
         data_centre: &DataCentre,
         is_meant: impl Fn(&Peer) -> bool,
-    ) -> SmallVec<[SocketAddrV4; SCHEDULERS]> {
-        let mut all: Vec<Standing> = self.standings(now, data_centre, is_meant).collect();
+    ) -> SmallVec<[SocketAddrV4; SCHEDULERS_PER_DATA_CENTRE]> {
+        let mut all: Vec<InstanceRank> = self.standings(now, data_centre, is_meant).collect();
         all.sort();
-        all.into_iter().take(SCHEDULERS).map(|standing| standing.address()).collect()
+        all.into_iter()
+            .take(SCHEDULERS_PER_DATA_CENTRE)
+            .map(|standing| standing.address())
+            .collect()
     }
 }
--- a/crates/ringbend-gateway/src/places.rs
+++ b/crates/ringbend-gateway/src/places.rs
@@ -12,7 +12,7 @@
 use crate::directory::Endpoint;
 use crate::job::Job;
 use crate::load::WorkId;
-use crate::pace::ASK_LIMITED_AGAIN;
+use crate::pace::LIMITED_QUERY_INTERVAL;
 
 /// The most places that an endpoint keeps while nobody takes them.
 const MOST_PLACES: f64 = 1.5;
@@ -57,37 +57,37 @@
 
 /// A request that waits for a place: the most urgent first, and of those the one that is late first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct InLine {
+pub struct PermitWaiter {
     rank: u8,
     /// When it is too late for it.
     pub due: Timestamp,
     id: WorkId,
 }
 
-impl InLine {
+impl PermitWaiter {
     /// The place in line of a request. One that is late already waits as long as its caller.
     pub fn new(now: Timestamp, id: WorkId, job: &Job) -> Self {
         let due = job.since + job.first_by.since(job.since).mul_f64(WAIT_SHARE);
-        Self { rank: job.rank, due: if due > now { due } else { job.patience }, id }
+        Self { rank: job.rank, due: if due > now { due } else { job.caller_timeout_at }, id }
     }
 }
 
 /// The places of endpoints with a limit, and who waits for one.
 #[derive(Debug, Clone, Default)]
-pub struct Places {
+pub struct Permits {
     buckets: HashMap<EndpointId, Bucket>,
-    lines: BTreeMap<ServiceName, BTreeSet<InLine>>,
+    lines: BTreeMap<ServiceName, BTreeSet<PermitWaiter>>,
     /// Up to when places have been promised to those who were told to come back.
     promised: BTreeMap<ServiceName, Timestamp>,
     /// The services whose places this instance counts.
     counted: BTreeSet<ServiceName>,
 }
 
-impl Places {
+impl Permits {
     /// Notes whether this instance counts the places of a service for all. Returns whether that is news.
     ///
     /// Whoever begins to count does not know what the one before has given away, and begins with none.
-    pub fn count(&mut self, service: &ServiceName, counts: bool) -> bool {
+    pub fn set_coordinating(&mut self, service: &ServiceName, counts: bool) -> bool {
         if !counts {
             return self.counted.remove(service);
         }
@@ -101,7 +101,7 @@
 
     /// Whether an endpoint that takes `rate` requests a second has a place now. It has none when its limit is first
     /// seen: what was sent before that counts as well.
-    pub fn has_place(
+    pub fn has_permit(
         &mut self,
         now: Timestamp,
         endpoint: &Endpoint,
@@ -133,12 +133,12 @@
     }
 
     /// Forgets endpoints that have no limit any more.
-    pub fn keep(&mut self, is_limited: impl Fn(&EndpointId) -> bool) {
+    pub fn retain(&mut self, is_limited: impl Fn(&EndpointId) -> bool) {
         self.buckets.retain(|endpoint, _| is_limited(endpoint));
     }
 
     /// How long until so many places have come at these endpoints; none if that is too far off.
-    pub fn until<'a>(
+    pub fn time_until<'a>(
         &self,
         now: Timestamp,
         endpoints: impl Iterator<Item = &'a EndpointId>,
@@ -161,12 +161,12 @@
     }
 
     /// Puts a request in line.
-    pub fn wait(&mut self, service: &ServiceName, waiting: InLine) {
+    pub fn enqueue(&mut self, service: &ServiceName, waiting: PermitWaiter) {
         self.lines.entry(service.clone()).or_default().insert(waiting);
     }
 
     /// Takes it out again.
-    pub fn leave(&mut self, service: &ServiceName, waiting: InLine) {
+    pub fn dequeue(&mut self, service: &ServiceName, waiting: PermitWaiter) {
         if let Some(line) = self.lines.get_mut(service) {
             line.remove(&waiting);
             if line.is_empty() {
@@ -176,7 +176,7 @@
     }
 
     /// How many go before it.
-    pub fn ahead_of(&self, service: &ServiceName, waiting: &InLine) -> usize {
+    pub fn ahead_of(&self, service: &ServiceName, waiting: &PermitWaiter) -> usize {
         self.lines.get(service).map_or(0, |line| line.range(..waiting).count())
     }
 
@@ -187,14 +187,14 @@
     }
 
     /// How many wait for places of a service.
-    pub fn waiting(&self, service: &ServiceName) -> usize {
+    pub fn queue_len(&self, service: &ServiceName) -> usize {
         self.lines.get(service).map_or(0, BTreeSet::len)
     }
 
     /// When a caller should come back that gets no place, `wait` being the time of the next one: each a place
     /// later than the one before, so that they do not return together. At most `within`. Where none is in sight it
     /// is when the endpoints have been asked again.
-    pub fn come_back(
+    pub fn retry_after(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
@@ -203,7 +203,7 @@
         within: Duration,
     ) -> Duration {
         let Some(wait) = wait.filter(|_| rate > 0.0) else {
-            return within.min(ASK_LIMITED_AGAIN);
+            return within.min(LIMITED_QUERY_INTERVAL);
         };
         let next = now + wait;
         let at = self.promised.get(service).map_or(next, |promised| next.max(*promised));
--- a/crates/ringbend-gateway/src/quarantine.rs
+++ b/crates/ringbend-gateway/src/quarantine.rs
@@ -2,7 +2,7 @@
 //!
 //! A request is known by its fingerprint. A process of an endpoint that ended while it ran the request is a
 //! strike. One strike makes a suspect: most suspects only ran beside the request that is to blame, and are
-//! cleared by the first run that ends well anywhere. With `HELD_AT` strikes the request is held: it is sent
+//! cleared by the first run that ends well anywhere. With `STRIKES_TO_HOLD` strikes the request is held: it is sent
 //! to no endpoint any more, but for a few tries long afterwards.
 //!
 //! Each strike is by a run that began when all strikes before it were known, so that it ran apart from other
@@ -22,7 +22,7 @@
 /// Strikes that hold a request. Two are no proof: an endpoint that ends by itself strikes all that run on it,
 /// and some of those meet a second one. That three do so in a row, each apart from other suspects, is most
 /// unlikely.
-pub const HELD_AT: usize = 3;
+pub const STRIKES_TO_HOLD: usize = 3;
 
 /// How long after its last strike or try a held request is tried again, once for each entry: endpoints of
 /// another version may run it well. Few, as each try may end an endpoint with all that runs there.
@@ -63,16 +63,16 @@
     pub fingerprint: Fingerprint,
     /// Raised each time that it is cleared.
     pub round: u32,
-    /// The processes that ended while they ran it, one for each strike, in order; `HELD_AT` at most.
-    pub ended: SmallVec<[EndedProcess; HELD_AT]>,
+    /// The processes that ended while they ran it, one for each strike, in order; `STRIKES_TO_HOLD` at most.
+    pub ended: SmallVec<[EndedProcess; STRIKES_TO_HOLD]>,
     /// How often it was tried since it is held.
     pub tries: u8,
 }
 
 impl Suspicion {
     /// Whether one strike more holds the request, or it is held: all instances must know, also later ones.
-    pub fn is_grave(&self) -> bool {
-        self.ended.len() + 1 >= HELD_AT
+    pub fn is_severe(&self) -> bool {
+        self.ended.len() + 1 >= STRIKES_TO_HOLD
     }
 
     fn of(fingerprint: Fingerprint) -> Self {
@@ -100,7 +100,7 @@
 
 impl Record {
     fn is_held(&self) -> bool {
-        self.suspicion.ended.len() >= HELD_AT
+        self.suspicion.ended.len() >= STRIKES_TO_HOLD
     }
 
     fn lasts(&self) -> Duration {
@@ -119,7 +119,7 @@
     pub fn state(&self, fingerprint: Fingerprint) -> SuspectState {
         match self.strikes(fingerprint) {
             0 => SuspectState::Clear,
-            strikes if strikes < HELD_AT => SuspectState::Suspect(strikes),
+            strikes if strikes < STRIKES_TO_HOLD => SuspectState::Suspect(strikes),
             _ => SuspectState::Held,
         }
     }
@@ -137,8 +137,8 @@
         of: Fingerprint,
         mut others: impl Iterator<Item = Fingerprint>,
     ) -> bool {
-        let is_grave = |of| self.strikes(of) + 1 >= HELD_AT;
-        others.all(|other| other == of || (!is_grave(of) && !is_grave(other)))
+        let is_severe = |of| self.strikes(of) + 1 >= STRIKES_TO_HOLD;
+        others.all(|other| other == of || (!is_severe(of) && !is_severe(other)))
     }
 
     /// Notes that a process ended while it ran the request, by a run that began when the request had so many
@@ -150,10 +150,10 @@
         process: EndedProcess,
         before: usize,
     ) -> bool {
-        if before != self.strikes(of) || before >= HELD_AT {
+        if before != self.strikes(of) || before >= STRIKES_TO_HOLD {
             return false;
         }
-        let mut told = self.of(of).cloned().unwrap_or_else(|| Suspicion::of(of));
+        let mut told = self.get(of).cloned().unwrap_or_else(|| Suspicion::of(of));
         if told.ended.contains(&process) {
             // It came again to where it had been cut off, before that was known to be gone.
             return false;
@@ -191,7 +191,7 @@
             return true;
         }
         let before = (known.ended.len(), known.tries);
-        for (at, process) in told.ended.iter().take(HELD_AT).enumerate() {
+        for (at, process) in told.ended.iter().take(STRIKES_TO_HOLD).enumerate() {
             match known.ended.get_mut(at) {
                 // Two runs that were under way together: all keep the same one.
                 Some(known) if process < known => *known = process.clone(),
@@ -230,7 +230,7 @@
         let mut kept = Vec::new();
         self.records.retain(|fingerprint, record| {
             let stays = now.since(record.changed) < record.lasts();
-            if !stays && record.suspicion.is_grave() {
+            if !stays && record.suspicion.is_severe() {
                 kept.push(*fingerprint);
             }
             stays
@@ -257,7 +257,7 @@
     }
 
     /// Notes that some instance has the try of this number.
-    pub fn tried(&mut self, now: Timestamp, of: Fingerprint, number: u8) {
+    pub fn record_try(&mut self, now: Timestamp, of: Fingerprint, number: u8) {
         if let Some(record) = self.records.get_mut(&of)
             && record.suspicion.tries < number
         {
@@ -267,7 +267,7 @@
     }
 
     /// What is known of a request.
-    pub fn of(&self, fingerprint: Fingerprint) -> Option<&Suspicion> {
+    pub fn get(&self, fingerprint: Fingerprint) -> Option<&Suspicion> {
         self.records.get(&fingerprint).map(|record| &record.suspicion)
     }
 
@@ -289,16 +289,16 @@
     pub fn recent(&self, now: Timestamp) -> impl Iterator<Item = &Suspicion> {
         let is_recent = move |record: &&Record| now.since(record.changed) < TOLD_AGAIN;
         let recent = self.records.values().filter(is_recent).map(|record| &record.suspicion);
-        recent.filter(|s| s.is_grave() || (s.ended.is_empty() && s.round > 0))
+        recent.filter(|s| s.is_severe() || (s.ended.is_empty() && s.round > 0))
     }
 
     /// How many requests are held.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.records.values().filter(|record| record.is_held()).count()
     }
 
     /// How many requests are suspected or held.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.records.values().filter(|record| !record.suspicion.ended.is_empty()).count()
     }
 
--- a/crates/ringbend-gateway/src/quiet.rs
+++ b/crates/ringbend-gateway/src/quiet.rs
@@ -2,18 +2,18 @@
 
 use crate::directory::Endpoint;
 use crate::engine::EngineProfile;
-use crate::view::View;
+use crate::view::FleetView;
 
 /// For each candidate, whether it is kept quiet: as many as the requests with short prompts need,
 /// those first that write for most of them. An instance that knows of no other keeps none: its book
 /// misses what others place, and all would keep the same engine.
 pub(crate) fn quiet_engines(
-    view: View<'_>,
+    view: FleetView<'_>,
     profile: &EngineProfile,
     candidates: &[&Endpoint],
 ) -> Vec<bool> {
     let mut quiet = vec![false; candidates.len()];
-    if view.alone.is_some() {
+    if view.spread_seed.is_some() {
         return quiet;
     }
     let w = view.weights;
@@ -36,7 +36,7 @@
 
 /// The candidates that read long prompts.
 pub(crate) fn reading_engines<'a>(
-    view: View<'_>,
+    view: FleetView<'_>,
     profile: &EngineProfile,
     candidates: &[&'a Endpoint],
 ) -> Vec<&'a Endpoint> {
--- a/crates/ringbend-gateway/src/reader.rs
+++ b/crates/ringbend-gateway/src/reader.rs
@@ -27,7 +27,7 @@
 
 /// This instance's part in reading, and its peers' clocks.
 #[derive(Debug, Clone)]
-pub struct Readers {
+pub struct StoreReaders {
     own_start: u64,
     reads: bool,
     clocks: BTreeMap<u64, Pairing>,
@@ -35,7 +35,7 @@
     proved: Option<(Timestamp, u64)>,
 }
 
-impl Readers {
+impl StoreReaders {
     /// An instance that does not read until its copy has not been proved current for a while.
     pub fn new(own_start: u64) -> Self {
         Self { own_start, reads: false, clocks: BTreeMap::new(), proved: None }
@@ -53,7 +53,7 @@
 
     /// Stops reading if the store is not reached since `lost_at` and another instance has proved the
     /// copy later, at `proved_at`. Returns whether it stops.
-    pub fn leaves_to_others(
+    pub fn yield_to_others(
         &mut self,
         lost_at: Option<Timestamp>,
         proved_at: Option<Timestamp>,
@@ -68,7 +68,7 @@
 
     /// Notes that the instance that started as `start` answered, at `peers` on its clock, a greeting
     /// that was sent at `own` on ours.
-    pub fn pair(&mut self, start: u64, own: Timestamp, peers: Timestamp) {
+    pub fn pair_clocks(&mut self, start: u64, own: Timestamp, peers: Timestamp) {
         self.clocks.insert(start, Pairing { own, peers });
     }
 
@@ -80,7 +80,7 @@
     /// A moment on our clock that is no later than `at` on the peer's. None for a clock unknown, and
     /// for a moment that our clock cannot tell as it lies before its zero: placed at zero it would
     /// be later than it was.
-    pub fn on_own_clock(&self, start: u64, at: Timestamp) -> Option<Timestamp> {
+    pub fn to_own_clock(&self, start: u64, at: Timestamp) -> Option<Timestamp> {
         let pairing = self.clocks.get(&start)?;
         if at >= pairing.peers {
             return Some(pairing.own + at.since(pairing.peers));
@@ -107,7 +107,7 @@
 
     /// Notes that another instance reads and proved this one's copy `age` ago. Returns whether this
     /// one stops reading.
-    pub fn other_reads(&mut self, start: u64, age: Duration) -> bool {
+    pub fn yield_to_reader(&mut self, start: u64, age: Duration) -> bool {
         let fresh = age < Duration::from_millis(READ_AGE_MS.start);
         let stops = self.reads && start < self.own_start && fresh;
         if stops {
--- a/crates/ringbend-gateway/src/replica.rs
+++ b/crates/ringbend-gateway/src/replica.rs
@@ -10,7 +10,7 @@
 
 /// What became of a configuration that was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Adopted {
+pub enum OfferResult {
     /// It is in force now.
     Newer {
         /// The version it replaces.
@@ -33,26 +33,26 @@
 
 impl Replica {
     /// Takes in a configuration; one that is older than the one in force is ignored.
-    pub fn offer(&mut self, snapshot: Snapshot) -> Adopted {
+    pub fn offer(&mut self, snapshot: Snapshot) -> OfferResult {
         let before = self.version();
         match before {
-            Some(version) if snapshot.version < version => return Adopted::Older,
-            Some(version) if snapshot.version == version => return Adopted::Same,
+            Some(version) if snapshot.version < version => return OfferResult::Older,
+            Some(version) if snapshot.version == version => return OfferResult::Same,
             _ => {}
         }
         self.snapshot = Some(Arc::new(snapshot));
         self.missed = false;
-        Adopted::Newer { before }
+        OfferResult::Newer { before }
     }
 
     /// Notes that a configuration was seen that cannot be read. The one in force may not be the
     /// newest then, so nothing proves it until another one can be read.
-    pub fn miss(&mut self) {
+    pub fn mark_unreadable(&mut self) {
         self.missed = true;
     }
 
     /// Whether a later configuration was seen that cannot be read.
-    pub fn has_missed(&self) -> bool {
+    pub fn has_unreadable(&self) -> bool {
         self.missed
     }
 
--- a/crates/ringbend-gateway/src/reservation.rs
+++ b/crates/ringbend-gateway/src/reservation.rs
@@ -1,6 +1,6 @@
 //! Memory that is held on engines for a prompt which is too large for one of them.
 //!
-//! A ticket is held for `HOLD` from the last order that named it and is renewed while its request
+//! A ticket is held for `RESERVATION_TTL` from the last order that named it and is renewed while its request
 //! runs. An instance that is killed renews nothing, so the memory is free again soon after.
 
 use std::fmt;
@@ -12,21 +12,21 @@
 
 /// How long an engine holds memory after an order. It must be free again within four seconds of the
 /// end of its request, also when nobody is left to release it.
-pub const HOLD: Duration = Duration::from_millis(3_400);
+pub const RESERVATION_TTL: Duration = Duration::from_millis(3_400);
 
 /// How often tickets are renewed: twice may fail before one lapses.
-pub const RENEW: Duration = Duration::from_millis(1_100);
+pub const RESERVATION_RENEWAL: Duration = Duration::from_millis(1_100);
 
 /// The name of one ticket. Never used again, so a late order does no harm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct TicketId {
+pub struct ReservationId {
     /// The request's work.
     pub work: WorkId,
     /// Counts the tickets of that work.
     pub number: u32,
 }
 
-impl fmt::Display for TicketId {
+impl fmt::Display for ReservationId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:x}-{:x}-{}", self.work.instance, self.work.sequence, self.number)
     }
@@ -34,9 +34,9 @@
 
 /// Memory held on one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ticket {
+pub struct Reservation {
     /// Its name.
-    pub id: TicketId,
+    pub id: ReservationId,
     /// The engine.
     pub endpoint: EndpointId,
     /// How much, in tokens.
@@ -45,7 +45,7 @@
 
 /// What an engine says to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum ReservationReply {
     /// The memory is held, or free, as ordered.
     Done,
     /// The engine has too little free memory.
--- a/crates/ringbend-gateway/src/schedulers.rs
+++ b/crates/ringbend-gateway/src/schedulers.rs
@@ -1,7 +1,7 @@
 //! Which instances of a data centre schedule for all of it.
 //!
 //! A few instances of each data centre know what runs on every engine and place the requests of all
-//! others there. Each placement is told among schedulers alone: with some hundred instances, telling
+//! others there. Each placement is told among schedulers spread_seed: with some hundred instances, telling
 //! it to everyone takes more processor time than the requests themselves. With 300 instances the middle
 //! one takes 1.7 % of a core and 22 KB a second where it took 14 % and 240 KB, requests included.
 //! Nobody elects them: each instance schedules until it hears enough better placed ones that do. Where
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 
 /// How many instances of a data centre schedule: two may be lost at once and one goes on.
-pub const SCHEDULERS: usize = 3;
+pub const SCHEDULERS_PER_DATA_CENTRE: usize = 3;
 
 /// What an instance does for the others of its data centre.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -28,12 +28,12 @@
 /// Where an instance stands among those of its data centre: more processor time first, then by
 /// address. The least schedules first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Standing {
+pub struct InstanceRank {
     capacity: Reverse<u32>,
     address: SocketAddrV4,
 }
 
-impl Standing {
+impl InstanceRank {
     /// An instance at `address` that may use `capacity` thousandths of a core.
     pub fn new(capacity: u32, address: SocketAddrV4) -> Self {
         Self { capacity: Reverse(capacity), address }
--- a/crates/ringbend-gateway/src/second_run.rs
+++ b/crates/ringbend-gateway/src/second_run.rs
@@ -11,11 +11,7 @@
 
 /// When a second run is begun of a request that was sent at `sent` and is expected to begin its answer
 /// after `expected`; none if it could not be in time by then.
-pub fn second_run_at(
-    sent: Timestamp,
-    expected: Duration,
-    first_by: Timestamp,
-) -> Option<Timestamp> {
+pub fn hedge_at(sent: Timestamp, expected: Duration, first_by: Timestamp) -> Option<Timestamp> {
     let at = sent + expected.mul_f64(OVERDUE_FACTOR);
     (at < first_by).then_some(at)
 }
--- a/crates/ringbend-gateway/src/signals.rs
+++ b/crates/ringbend-gateway/src/signals.rs
@@ -12,7 +12,7 @@
 use ringbend_types::{ParseDecimalError, RetryAfter};
 use smallvec::SmallVec;
 
-use crate::limits::LimitWord;
+use crate::limits::LimitSignal;
 
 /// One signal of a response head.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EndpointSignals {
     /// How much the endpoint takes from all instances together.
-    pub limit: LimitWord,
+    pub limit: LimitSignal,
     /// Whether it announces that it is draining.
     pub draining: Signal<Draining>,
     /// How long this instance is to send it nothing, if it rejected the request for overload.
--- a/crates/ringbend-gateway/src/snapshot.rs
+++ b/crates/ringbend-gateway/src/snapshot.rs
@@ -21,7 +21,7 @@
 
 /// How often a request may be run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// Any number of times.
     Idempotent,
     /// Once at most.
@@ -30,7 +30,7 @@
     Resumable,
 }
 
-impl Repeat {
+impl RepeatPolicy {
     /// Whether a second run is allowed.
     pub fn may_repeat(self) -> bool {
         self != Self::AtMostOnce
@@ -39,7 +39,7 @@
 
 /// A service's part of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Split {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
     /// Its weight against the sum of the route's weights.
@@ -52,9 +52,9 @@
     /// The operator's name for it.
     pub name: Arc<str>,
     /// The services that share its requests.
-    pub split: SmallVec<[Split; 2]>,
+    pub split: SmallVec<[WeightedService; 2]>,
     /// How often a request may be run.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// Whether answers are event streams.
     pub streaming: bool,
     /// The longest a caller is kept waiting for the end of the answer.
--- a/crates/ringbend-gateway/src/trust.rs
+++ b/crates/ringbend-gateway/src/trust.rs
@@ -7,7 +7,7 @@
 
 /// A result of one request at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TrustEvent {
+pub enum HealthEvent {
     /// It answered in full.
     Good,
     /// It could not be reached, broke off, or answered nonsense.
@@ -27,7 +27,7 @@
 /// How long a refusal for want of room counts.
 const FULL_TIME: Duration = Duration::from_millis(300);
 
-/// How long an endpoint at whose address another one answered is left alone: longer than rows of
+/// How long an endpoint at whose address another one answered is left spread_seed: longer than rows of
 /// endpoints that have ended stand in the table.
 const FOREIGN_TIME: Duration = Duration::from_secs(10);
 
@@ -46,25 +46,25 @@
 
 /// Results by endpoint.
 #[derive(Debug, Clone, Default)]
-pub struct TrustBook {
+pub struct HealthTracker {
     records: BTreeMap<EndpointId, Record>,
 }
 
-impl TrustBook {
+impl HealthTracker {
     /// Takes in a result.
-    pub fn note(&mut self, now: Timestamp, id: &EndpointId, event: TrustEvent) {
-        if event == TrustEvent::Good && !self.records.contains_key(id) {
+    pub fn note(&mut self, now: Timestamp, id: &EndpointId, event: HealthEvent) {
+        if event == HealthEvent::Good && !self.records.contains_key(id) {
             return;
         }
         let record = self.records.entry(id.clone()).or_default();
         match event {
-            TrustEvent::Good => record.bad *= 0.5,
-            TrustEvent::Bad => {
+            HealthEvent::Good => record.bad *= 0.5,
+            HealthEvent::Bad => {
                 record.bad = (record.bad + 1.0).min(MOST_BAD);
                 record.bad_until = now + BAD_TIME.mul_f64(record.bad);
             }
-            TrustEvent::Full => record.full_until = now + FULL_TIME,
-            TrustEvent::Foreign => {
+            HealthEvent::Full => record.full_until = now + FULL_TIME,
+            HealthEvent::Foreign => {
                 record.bad = MOST_BAD;
                 record.bad_until = now + FOREIGN_TIME;
             }
@@ -72,7 +72,7 @@
     }
 
     /// What choosing the endpoint costs for its past, in milliseconds of waiting.
-    pub fn distrust(&self, now: Timestamp, id: &EndpointId) -> f64 {
+    pub fn penalty_ms(&self, now: Timestamp, id: &EndpointId) -> f64 {
         let Some(record) = self.records.get(id) else { return 0.0 };
         let bad = if now < record.bad_until { record.bad * BAD_MS } else { 0.0 };
         let full = if now < record.full_until { FULL_MS } else { 0.0 };
--- a/crates/ringbend-gateway/src/turns.rs
+++ b/crates/ringbend-gateway/src/turns.rs
@@ -9,14 +9,14 @@
 
 use ringbend_types::{ServiceName, Timestamp};
 
-use crate::choice::Wish;
+use crate::choice::PlacementGoal;
 use crate::deferral::{Wait, had_better_wait};
 use crate::directory::Endpoint;
 use crate::engine::{EngineProfile, MOST_ENGINES};
 use crate::load::WorkId;
 use crate::quiet::reading_engines;
-use crate::view::View;
-use crate::waiting::Waiting;
+use crate::view::FleetView;
+use crate::waiting::WaitingPrompt;
 use crate::weights::PlacementWeights;
 
 /// Whether a long prompt may be sent.
@@ -27,11 +27,11 @@
     /// Engines have room for it, and others that go first have not been sent.
     PassedOver,
     /// Too few engines have nothing to read; some will after this time.
-    In(Duration),
+    After(Duration),
     /// It would take an engine for too long, as short prompts have taken the others.
-    TooFew,
+    TooFewEngines,
     /// It would make others late, and has time to wait.
-    TooDear,
+    TooCostly,
     /// Its caller would leave before it could be read.
     TooLate,
 }
@@ -52,7 +52,7 @@
 /// A waiting prompt in the order in which they are sent.
 struct Queued<'a> {
     id: WorkId,
-    waiting: &'a Waiting,
+    waiting: &'a WaitingPrompt,
     /// How long all engines together read it.
     shared: Duration,
     /// How long it takes by itself.
@@ -62,7 +62,7 @@
 impl Queued<'_> {
     /// Whether it goes before all others, however late it is.
     fn is_aged(&self, now: Timestamp) -> bool {
-        let Waiting { since, until, .. } = *self.waiting;
+        let WaitingPrompt { since, until, .. } = *self.waiting;
         now.since(since) > until.since(since).mul_f64(AGED)
     }
 }
@@ -70,13 +70,13 @@
 /// The order in which the prompts that wait for a service are sent: those that have waited for long;
 /// then those that can all be on time together, the first due first; then the others.
 fn order<'a>(
-    view: View<'a>,
+    view: FleetView<'a>,
     service: &ServiceName,
     engines: usize,
     backlog: Duration,
 ) -> Vec<Queued<'a>> {
     let now = view.now;
-    let queued = |(id, waiting): (WorkId, &'a Waiting)| {
+    let queued = |(id, waiting): (WorkId, &'a WaitingPrompt)| {
         let part = |n: usize| waiting.read / u32::try_from(n.max(1)).unwrap_or(u32::MAX);
         let (shared, alone) = (part(engines), part(engines.min(MOST_ENGINES)) + BETWEEN);
         Queued { id, waiting, shared, alone }
@@ -128,33 +128,33 @@
 
 /// A prompt that waits, and what is wanted for it.
 #[derive(Debug, Clone, Copy)]
-pub struct Claim {
+pub struct QueuedPrompt {
     /// Its name among those that wait.
     pub id: WorkId,
     /// How long it has been passed over.
-    pub unused: Duration,
+    pub passed_over_for: Duration,
     /// What is wanted of its placement.
-    pub wish: Wish,
+    pub goal: PlacementGoal,
 }
 
 /// Whether a prompt that waits may be sent.
-pub fn turn(
-    view: View<'_>,
+pub fn decide_turn(
+    view: FleetView<'_>,
     profile: &EngineProfile,
     candidates: &[&Endpoint],
-    claim: &Claim,
+    claim: &QueuedPrompt,
 ) -> Turn {
     if view.starting {
-        return Turn::In(STARTING_LOOK);
+        return Turn::After(STARTING_LOOK);
     }
     match in_order(view, profile, candidates, claim) {
         Turn::Now => {
-            let own = view.load.waits(claim.id);
+            let own = view.load.waiting_prompt(claim.id);
             let wait =
-                own.and_then(|own| had_better_wait(view, profile, candidates, &claim.wish, own));
+                own.and_then(|own| had_better_wait(view, profile, candidates, &claim.goal, own));
             match wait {
-                Some(Wait::TooLong) => Turn::TooFew,
-                Some(Wait::TooDear) => Turn::TooDear,
+                Some(Wait::TooLong) => Turn::TooFewEngines,
+                Some(Wait::TooDear) => Turn::TooCostly,
                 None => Turn::Now,
             }
         }
@@ -164,10 +164,10 @@
 
 /// Whether enough engines have nothing to read for a prompt and for those that go before it.
 fn in_order(
-    view: View<'_>,
+    view: FleetView<'_>,
     profile: &EngineProfile,
     candidates: &[&Endpoint],
-    claim: &Claim,
+    claim: &QueuedPrompt,
 ) -> Turn {
     let reading = reading_engines(view, profile, candidates);
     let engines = reading.len();
@@ -197,8 +197,10 @@
     let in_order = backlogs.get(own_wanted + ahead - 1);
     match backlogs.get(own_wanted - 1) {
         None => Turn::Now,
-        Some(own) if !own.is_zero() => Turn::In(*own),
-        Some(_) if in_order.is_some_and(Duration::is_zero) || claim.unused >= UNUSED => Turn::Now,
+        Some(own) if !own.is_zero() => Turn::After(*own),
+        Some(_) if in_order.is_some_and(Duration::is_zero) || claim.passed_over_for >= UNUSED => {
+            Turn::Now
+        }
         Some(_) => Turn::PassedOver,
     }
 }
--- a/crates/ringbend-gateway/src/view.rs
+++ b/crates/ringbend-gateway/src/view.rs
@@ -7,8 +7,8 @@
 use crate::directory::Endpoint;
 use crate::engine::EngineProfile;
 use crate::limits::Limits;
-use crate::load::{EndpointLoad, LoadBook};
-use crate::trust::TrustBook;
+use crate::load::{EndpointLoad, LoadTracker};
+use crate::trust::HealthTracker;
 use crate::weights::PlacementWeights;
 
 /// The share of an engine's memory that is planned with.
@@ -16,18 +16,18 @@
 
 /// What a choice is made from.
 #[derive(Clone, Copy)]
-pub struct View<'a> {
+pub struct FleetView<'a> {
     /// The time.
     pub now: Timestamp,
     /// Where this instance runs.
     pub home: &'a DataCentre,
     /// What runs where.
-    pub load: &'a LoadBook,
+    pub load: &'a LoadTracker,
     /// Where no other instance is known, a number drawn for this request. The book misses what
     /// others place then, so requests are not gathered on few engines, and the number orders those
     /// that cost the same: without it a crowd of callers that comes back to instances that have just
     /// started meets the same engines.
-    pub alone: Option<u64>,
+    pub spread_seed: Option<u64>,
     /// Whether it is alone and started moments ago, so that others may be heard soon. Long prompts
     /// wait for that: those that come back after a loss of all instances were sent by each of them to
     /// the same engines at once.
@@ -35,7 +35,7 @@
     /// What counts how much.
     pub weights: &'a PlacementWeights,
     /// Which endpoints answered well.
-    pub trust: &'a TrustBook,
+    pub health: &'a HealthTracker,
     /// Endpoints that this request was sent to before.
     pub tried: &'a [EndpointId],
     /// Whether the request is suspected of ending endpoints.
@@ -49,7 +49,7 @@
 const BESIDE_SUSPECT_COST: f64 = 20.0;
 
 /// What it costs that a suspect is on the endpoint already.
-pub(crate) fn beside_suspect(view: View<'_>, endpoint: &EndpointId) -> f64 {
+pub(crate) fn beside_suspect(view: FleetView<'_>, endpoint: &EndpointId) -> f64 {
     let is_beside = view.is_suspect && view.load.suspects_on(view.now, endpoint).next().is_some();
     if is_beside { BESIDE_SUSPECT_COST } else { 0.0 }
 }
@@ -59,8 +59,8 @@
 const LIMITED_COST: f64 = 0.1;
 
 /// What it costs that the endpoint names a limit.
-pub(crate) fn limited(view: View<'_>, endpoint: &Endpoint) -> f64 {
-    if view.limits.of(endpoint).is_some() { LIMITED_COST } else { 0.0 }
+pub(crate) fn limited(view: FleetView<'_>, endpoint: &Endpoint) -> f64 {
+    if view.limits.rate(endpoint).is_some() { LIMITED_COST } else { 0.0 }
 }
 
 /// Memory that is free on an engine, in tokens.
--- a/crates/ringbend-gateway/src/waiting.rs
+++ b/crates/ringbend-gateway/src/waiting.rs
@@ -6,7 +6,7 @@
 
 /// A long prompt that waits for its turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting {
+pub struct WaitingPrompt {
     /// The service whose engines it waits for.
     pub service: ServiceName,
     /// How long one engine would read it.
--- a/crates/ringbend-gateway/tests/counting.rs
+++ b/crates/ringbend-gateway/tests/counting.rs
@@ -4,7 +4,7 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use ringbend_gateway::{Arbiter, HEARTBEAT, Part, Peers, Role, Standing};
+use ringbend_gateway::{Arbiter, HEARTBEAT_INTERVAL, InstanceRank, PeerStatus, Peers, Role};
 use ringbend_types::Timestamp;
 use support::{at, ms, service};
 
@@ -14,33 +14,33 @@
 
 /// An instance that schedules, beside others that do and that have just been heard.
 fn beside(others: u8, now: Timestamp) -> Peers {
-    let mut peers = Peers::new(now, "z1".parse().unwrap(), Standing::new(100, address(0)));
-    peers.called_up();
+    let mut peers = Peers::new(now, "z1".parse().unwrap(), InstanceRank::new(100, address(0)));
+    peers.become_scheduler();
     (1..=others).for_each(|number| hear(&mut peers, number, now));
     peers
 }
 
 fn hear(peers: &mut Peers, number: u8, now: Timestamp) {
-    peers.heard(now, address(number), u64::from(number));
+    peers.record_digest(now, address(number), u64::from(number));
     peers.describe(address(number), "z1".parse().unwrap(), 100 + u32::from(number));
-    let part = Part { role: Role::Scheduler, instances: 1, fleet: 1 };
-    peers.takes_part(address(number), part);
+    let part = PeerStatus { role: Role::Scheduler, instances: 1, fleet: 1 };
+    peers.set_status(address(number), part);
 }
 
 fn counter(peers: &Peers, now: Timestamp) -> Option<Arbiter> {
-    peers.counter(now, &service("engines"))
+    peers.limit_coordinator(now, &service("engines"))
 }
 
 #[test]
 fn the_best_placed_scheduler_counts() {
     let now = at(1_000);
-    assert_eq!(counter(&beside(0, now), now), Some(Arbiter::Own));
-    assert_eq!(counter(&beside(3, now), now), Some(Arbiter::At(address(3))));
+    assert_eq!(counter(&beside(0, now), now), Some(Arbiter::Local));
+    assert_eq!(counter(&beside(3, now), now), Some(Arbiter::Remote(address(3))));
 }
 
 #[test]
 fn one_that_does_not_schedule_and_hears_none_that_does_counts_nothing() {
-    let peers = Peers::new(at(0), "z1".parse().unwrap(), Standing::new(100, address(0)));
+    let peers = Peers::new(at(0), "z1".parse().unwrap(), InstanceRank::new(100, address(0)));
     assert_eq!(counter(&peers, at(1_000)), None);
 }
 
@@ -48,25 +48,29 @@
 fn one_that_did_not_answer_in_time_still_counts_and_another_one_only_once_it_is_not_heard() {
     let now = at(1_000);
     let mut peers = beside(2, now);
-    peers.doubt(now, address(2));
-    assert_eq!(counter(&peers, now), Some(Arbiter::At(address(2))));
-    let after_one = now + HEARTBEAT + ms(100);
+    peers.mark_unresponsive(now, address(2));
+    assert_eq!(counter(&peers, now), Some(Arbiter::Remote(address(2))));
+    let after_one = now + HEARTBEAT_INTERVAL + ms(100);
     hear(&mut peers, 1, after_one);
-    assert_eq!(counter(&peers, after_one), Some(Arbiter::At(address(2))), "one heartbeat was lost");
-    let after_two = now + HEARTBEAT * 2 + ms(300);
+    assert_eq!(
+        counter(&peers, after_one),
+        Some(Arbiter::Remote(address(2))),
+        "one heartbeat was lost"
+    );
+    let after_two = now + HEARTBEAT_INTERVAL * 2 + ms(300);
     hear(&mut peers, 1, after_two);
-    assert_eq!(counter(&peers, after_two), Some(Arbiter::At(address(1))));
+    assert_eq!(counter(&peers, after_two), Some(Arbiter::Remote(address(1))));
     hear(&mut peers, 2, after_two);
-    assert_eq!(counter(&peers, after_two), Some(Arbiter::At(address(2))));
+    assert_eq!(counter(&peers, after_two), Some(Arbiter::Remote(address(2))));
 }
 
 #[test]
 fn one_that_says_that_it_stops_is_followed_at_once() {
     let now = at(1_000);
     let mut peers = beside(2, now);
-    peers.left(address(2));
-    assert_eq!(counter(&peers, now), Some(Arbiter::At(address(1))));
-    assert!((peers.heard_share(now) - 1.0).abs() < 1e-9);
+    peers.remove(address(2));
+    assert_eq!(counter(&peers, now), Some(Arbiter::Remote(address(1))));
+    assert!((peers.reachable_share(now) - 1.0).abs() < 1e-9);
 }
 
 /// Each half of a fleet that was cut gives away its share, so that both together give what was named.
@@ -74,12 +78,12 @@
 fn a_part_of_all_instances_gives_away_its_share_while_the_others_are_silent() {
     let now = at(1_000);
     let mut peers = beside(5, now);
-    assert!((peers.heard_share(now) - 1.0).abs() < 1e-9);
+    assert!((peers.reachable_share(now) - 1.0).abs() < 1e-9);
     let later = now + ms(3_000);
     (1..=2).for_each(|number| hear(&mut peers, number, later));
-    assert!((peers.heard_share(later) - 0.5).abs() < 1e-9);
+    assert!((peers.reachable_share(later) - 0.5).abs() < 1e-9);
     let much_later = now + ms(40_000);
     (1..=2).for_each(|number| hear(&mut peers, number, much_later));
     peers.sweep(much_later);
-    assert!((peers.heard_share(much_later) - 1.0).abs() < 1e-9, "they are gone by now");
+    assert!((peers.reachable_share(much_later) - 1.0).abs() < 1e-9, "they are gone by now");
 }
--- a/crates/ringbend-gateway/tests/currency.rs
+++ b/crates/ringbend-gateway/tests/currency.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use ringbend_gateway::{Adopted, ConfigVersion, Proof, Readers, Replica};
+use ringbend_gateway::{ConfigVersion, OfferResult, Proof, Replica, StoreReaders};
 use ringbend_types::Timestamp;
 use support::{at, ms, snapshot};
 
@@ -24,12 +24,12 @@
     /// What its clock showed then.
     at_start: Timestamp,
     replica: Replica,
-    readers: Readers,
+    readers: StoreReaders,
 }
 
 impl Instance {
     fn new(start: u64, started: Timestamp, at_start: Timestamp) -> Self {
-        let (replica, readers) = (Replica::default(), Readers::new(start));
+        let (replica, readers) = (Replica::default(), StoreReaders::new(start));
         Self { start, started, at_start, replica, readers }
     }
 
@@ -163,7 +163,7 @@
                 }
                 let adopted = instance.replica.offer(snapshot(version, None));
                 // The relay proves nothing by an answer from before what it knows.
-                if adopted != Adopted::Older {
+                if adopted != OfferResult::Older {
                     instance.replica.prove(proof, paired);
                 }
             }
@@ -173,7 +173,7 @@
             Message::Currency { to, start, version, proved_at } => {
                 let now = self.instances[to].clock(self.now);
                 let instance = &mut self.instances[to];
-                let placed = instance.readers.on_own_clock(start, proved_at);
+                let placed = instance.readers.to_own_clock(start, proved_at);
                 if let Some(placed) = placed.filter(|at| *at <= now) {
                     instance.replica.prove_at(ConfigVersion(version), placed);
                 }
@@ -181,7 +181,7 @@
             Message::Pairing { to, to_start, start, own, peers } => {
                 let instance = &mut self.instances[to];
                 if instance.start == to_start {
-                    instance.readers.pair(start, own, peers);
+                    instance.readers.pair_clocks(start, own, peers);
                 }
             }
         }
@@ -351,7 +351,7 @@
 /// Whoever reads would stop for an earlier reader that has ended, and nobody would read for two seconds.
 #[test]
 fn an_earlier_reader_is_not_named_beside_a_later_proof() {
-    let mut readers = Readers::new(5);
+    let mut readers = StoreReaders::new(5);
     readers.proved_by(3, Timestamp::from_millis(100));
     assert_eq!(readers.reader(), Some(3));
     readers.proved_by(3, Timestamp::from_millis(50));
@@ -366,12 +366,12 @@
 /// then whether others had reached it. It sent requests to an endpoint 3.4 s after that had said it leaves.
 #[test]
 fn a_reader_that_lost_the_store_leaves_reading_to_others_by_their_first_proof() {
-    let mut readers = Readers::new(1);
+    let mut readers = StoreReaders::new(1);
     readers.begin();
-    assert!(!readers.leaves_to_others(None, Some(at(900))), "the store is not lost");
-    assert!(!readers.leaves_to_others(Some(at(1_000)), Some(at(900))), "the proof is its own");
+    assert!(!readers.yield_to_others(None, Some(at(900))), "the store is not lost");
+    assert!(!readers.yield_to_others(Some(at(1_000)), Some(at(900))), "the proof is its own");
     assert!(readers.reads());
-    assert!(readers.leaves_to_others(Some(at(1_000)), Some(at(1_200))));
+    assert!(readers.yield_to_others(Some(at(1_000)), Some(at(1_200))));
     assert!(!readers.reads());
-    assert!(!readers.leaves_to_others(Some(at(1_000)), Some(at(1_300))), "it does so once");
+    assert!(!readers.yield_to_others(Some(at(1_000)), Some(at(1_300))), "it does so once");
 }
--- a/crates/ringbend-gateway/tests/directory.rs
+++ b/crates/ringbend-gateway/tests/directory.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ringbend_gateway::{Directory, Endpoint, EndpointChange, RETURN_TIME};
+use ringbend_gateway::{Directory, Endpoint, EndpointChange, OUTAGE_GRACE};
 use ringbend_types::Timestamp;
 use support::{at, endpoint, fleet, service};
 
@@ -36,16 +36,16 @@
 #[test]
 fn an_entry_that_lapsed_in_an_outage_is_believed_in_until_it_must_be_back() {
     let mut directory = two();
-    directory.regained(at(1_000));
+    directory.store_recovered(at(1_000));
     directory.replace(at(1_000), vec![endpoint(1)]);
     assert_eq!(ready(&directory, at(1_100)), 2);
-    assert_eq!(ready(&directory, at(1_000) + RETURN_TIME), 1);
+    assert_eq!(ready(&directory, at(1_000) + OUTAGE_GRACE), 1);
 }
 
 #[test]
 fn an_entry_that_is_back_in_time_stays() {
     let mut directory = two();
-    directory.regained(at(1_000));
+    directory.store_recovered(at(1_000));
     directory.apply(at(1_000), gone(2));
     directory.apply(at(2_000), EndpointChange::Present(endpoint(2)));
     assert_eq!(ready(&directory, at(9_000)), 2);
@@ -55,7 +55,7 @@
 fn an_endpoint_that_was_leaving_is_not_believed_in() {
     let mut directory = two();
     directory.apply(at(900), leaving(2));
-    directory.regained(at(1_000));
+    directory.store_recovered(at(1_000));
     directory.apply(at(1_000), gone(2));
     assert_eq!(ready(&directory, at(1_001)), 1);
     assert_eq!(directory.len(), 1);
--- a/crates/ringbend-gateway/tests/drains.rs
+++ b/crates/ringbend-gateway/tests/drains.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ringbend_gateway::{Directory, Drain, Drains, Endpoint, EndpointChange, RETURN_TIME};
+use ringbend_gateway::{Directory, Drain, Drains, Endpoint, EndpointChange, OUTAGE_GRACE};
 use ringbend_types::{EndpointStart, Timestamp};
 use support::{at, endpoint, fleet, service};
 
@@ -39,10 +39,10 @@
     let mut directory = Directory::default();
     directory.replace(at(0), fleet(2));
     directory.note_drain(at(900), drain(&endpoint(2)));
-    directory.regained(at(1_000));
+    directory.store_recovered(at(1_000));
     directory.apply(at(1_000), EndpointChange::Gone(endpoint(2).id));
     assert_eq!((ready(&directory, at(1_001)), directory.len()), (1, 1));
-    assert!(ready(&directory, at(1_000) + RETURN_TIME) == 1);
+    assert!(ready(&directory, at(1_000) + OUTAGE_GRACE) == 1);
 }
 
 /// Guards against an announcement that comes before the endpoint's row.
--- a/crates/ringbend-gateway/tests/ended.rs
+++ b/crates/ringbend-gateway/tests/ended.rs
@@ -8,7 +8,7 @@
 mod support;
 
 use ringbend_gateway::{
-    Directory, Ended, Endpoint, EndpointChange, LoadBook, TrustBook, TrustEvent,
+    Directory, EndedEndpoints, Endpoint, EndpointChange, HealthEvent, HealthTracker, LoadTracker,
 };
 use ringbend_types::{EndpointStart, Timestamp};
 use support::{at, endpoint, ms, service, work, work_id};
@@ -108,7 +108,8 @@
 #[test]
 fn of_two_that_are_first_seen_together_none_has_ended() {
     let mut directory = Directory::default();
-    let ended: Ended = directory.replace(at(0), vec![endpoint(1), successor(&endpoint(1))]);
+    let ended: EndedEndpoints =
+        directory.replace(at(0), vec![endpoint(1), successor(&endpoint(1))]);
     assert!(ended.is_empty());
     assert_eq!(ids(&directory, at(0)).len(), 2);
 }
@@ -117,33 +118,33 @@
 fn an_unreadable_row_names_no_endpoint_at_once_even_when_the_store_is_just_back() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&endpoint(1)));
-    directory.regained(at(10));
+    directory.store_recovered(at(10));
     directory.apply(at(11), EndpointChange::Unreadable(endpoint(1).id));
     assert!(ids(&directory, at(11)).is_empty());
 }
 
 #[test]
 fn work_of_an_ended_endpoint_is_off_the_book_and_work_elsewhere_stays() {
-    let mut load = LoadBook::default();
+    let mut load = LoadTracker::default();
     let helped = ringbend_gateway::Work {
         helpers: [endpoint(1).id].into_iter().collect(),
         ..work(2, ms(300))
     };
     load.place(at(0), work_id(1), work(1, ms(500)));
     load.place(at(0), work_id(2), helped);
-    load.lose_endpoint(at(1), &endpoint(1).id);
+    load.remove_endpoint(at(1), &endpoint(1).id);
     assert!(load.work(work_id(1)).is_none() && load.work(work_id(2)).is_some());
     let lost = load.of(&endpoint(1).id);
-    assert!(lost.backlog().is_zero() && lost.writers().is_empty() && lost.memory_tokens() == 0);
+    assert!(lost.backlog().is_zero() && lost.decodes().is_empty() && lost.memory_tokens() == 0);
     load.end(at(2), work_id(2));
     assert_eq!(load.open_requests(), 0);
 }
 
 #[test]
 fn where_another_endpoint_answered_nobody_is_sent_for_longer_than_late_rows_stand() {
-    let mut trust = TrustBook::default();
-    trust.note(at(0), &endpoint(1).id, TrustEvent::Foreign);
-    assert!(trust.distrust(at(9_000), &endpoint(1).id) > 0.0);
-    trust.forget(&endpoint(1).id);
-    assert_eq!(trust.distrust(at(9_000), &endpoint(1).id), 0.0);
+    let mut health = HealthTracker::default();
+    health.note(at(0), &endpoint(1).id, HealthEvent::Foreign);
+    assert!(health.penalty_ms(at(9_000), &endpoint(1).id) > 0.0);
+    health.forget(&endpoint(1).id);
+    assert_eq!(health.penalty_ms(at(9_000), &endpoint(1).id), 0.0);
 }
--- a/crates/ringbend-gateway/tests/freshness.rs
+++ b/crates/ringbend-gateway/tests/freshness.rs
@@ -4,7 +4,8 @@
 
 use quickcheck::quickcheck;
 use ringbend_gateway::{
-    Adopted, Arrival, ConfigVersion, Denied, Freshness, GateBounds, Proof, Replica, admit,
+    AdmissionBounds, AdmissionRequest, ConfigVersion, Denied, Freshness, OfferResult, Proof,
+    Replica, admit,
 };
 use support::{at, ms, snapshot};
 
@@ -63,19 +64,19 @@
             let before = replica.version();
             let adopted = replica.offer(snapshot(u64::from(version), None));
             let expected = match before {
-                Some(ConfigVersion(v)) if u64::from(version) < v => Adopted::Older,
-                Some(ConfigVersion(v)) if u64::from(version) == v => Adopted::Same,
-                before => Adopted::Newer { before },
+                Some(ConfigVersion(v)) if u64::from(version) < v => OfferResult::Older,
+                Some(ConfigVersion(v)) if u64::from(version) == v => OfferResult::Same,
+                before => OfferResult::Newer { before },
             };
             adopted == expected && replica.version() >= before
         })
     }
 }
 
-const BOUNDS: GateBounds = GateBounds { key_age: Some(ms(3_500)), denial_age: ms(2_000) };
+const BOUNDS: AdmissionBounds = AdmissionBounds { key_age: Some(ms(3_500)), denial_age: ms(2_000) };
 
-fn arrival(path: &'static str, key: Option<&'static str>) -> Arrival<'static> {
-    Arrival { host: "H:80", path, key }
+fn arrival(path: &'static str, key: Option<&'static str>) -> AdmissionRequest<'static> {
+    AdmissionRequest { host: "H:80", path, key }
 }
 
 fn replica(proved_ms: u64) -> Replica {
--- a/crates/ringbend-gateway/tests/giving_way.rs
+++ b/crates/ringbend-gateway/tests/giving_way.rs
@@ -8,7 +8,9 @@
 
 mod support;
 
-use ringbend_gateway::{Claim, Demand, Turn, Waiting, Wish, Work, is_long, stake, turn};
+use ringbend_gateway::{
+    Demand, PlacementGoal, QueuedPrompt, Turn, WaitingPrompt, Work, decide_turn, is_long, stake,
+};
 use ringbend_types::Timestamp;
 use support::{Scene, at, endpoint, ms, profile, service, work, work_id};
 
@@ -39,8 +41,8 @@
 fn turn_at(scene: &mut Scene, now: Timestamp) -> Turn {
     let demand = Demand { prompt_tokens: PROMPT, answer_tokens: 1_000 };
     assert!(is_long(&scene.weights, &profile(), demand));
-    let read = profile().part_time(PROMPT, 1);
-    let waiting = Waiting {
+    let read = profile().prefill_time(PROMPT, 1);
+    let waiting = WaitingPrompt {
         service: service("engines"),
         read,
         since: at(0),
@@ -50,15 +52,15 @@
     scene.now = now;
     scene.load.advance(now);
     scene.load.wait(work_id(OWN), waiting);
-    let wish = Wish { demand, first_in: at(FIRST_BY).since(now), gap: ms(1_000) };
-    let claim = Claim { id: work_id(OWN), unused: ms(0), wish };
-    turn(scene.view(), &profile(), &scene.candidates(), &claim)
+    let goal = PlacementGoal { demand, first_in: at(FIRST_BY).since(now), gap: ms(1_000) };
+    let claim = QueuedPrompt { id: work_id(OWN), passed_over_for: ms(0), goal };
+    decide_turn(scene.view(), &profile(), &scene.candidates(), &claim)
 }
 
 #[test]
 fn a_prompt_that_would_stall_streams_waits_while_it_has_time() {
     let mut scene = writing_for_long_ones(2);
-    assert_eq!(turn_at(&mut scene, at(10)), Turn::TooDear);
+    assert_eq!(turn_at(&mut scene, at(10)), Turn::TooCostly);
     // Two engines read it in 0.9 s; a second is kept in hand.
     assert_eq!(turn_at(&mut scene, at(2_200)), Turn::Now);
 }
@@ -66,7 +68,7 @@
 #[test]
 fn it_goes_once_the_streams_have_ended() {
     let mut scene = writing_for_long_ones(2);
-    assert_eq!(turn_at(&mut scene, at(10)), Turn::TooDear);
+    assert_eq!(turn_at(&mut scene, at(10)), Turn::TooCostly);
     (1..=2).for_each(|id| scene.load.end(at(500), work_id(id)));
     assert_eq!(turn_at(&mut scene, at(500)), Turn::Now);
 }
@@ -81,13 +83,13 @@
 #[test]
 fn one_that_is_late_gives_way_for_part_of_its_callers_time() {
     let mut scene = writing_for_long_ones(2);
-    assert_eq!(turn_at(&mut scene, at(5_000)), Turn::TooDear);
+    assert_eq!(turn_at(&mut scene, at(5_000)), Turn::TooCostly);
     assert_eq!(turn_at(&mut scene, at(6_500)), Turn::Now);
 }
 
 #[test]
 fn an_engine_that_started_again_writes_for_nobody() {
     let mut scene = writing_for_long_ones(2);
-    (1..=2).for_each(|engine| scene.load.lose_endpoint(at(20), &endpoint(engine).id));
+    (1..=2).for_each(|engine| scene.load.remove_endpoint(at(20), &endpoint(engine).id));
     assert_eq!(turn_at(&mut scene, at(20)), Turn::Now);
 }
--- a/crates/ringbend-gateway/tests/limits.rs
+++ b/crates/ringbend-gateway/tests/limits.rs
@@ -3,15 +3,17 @@
 mod support;
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use ringbend_gateway::{BadLimit, Endpoint, HeardLimit, LimitWord, Limits, NamedLimit, WordIn};
+use ringbend_gateway::{
+    Endpoint, KnownLimit, LimitSignal, LimitSource, LimitUpdate, Limits, MalformedLimit,
+};
 use ringbend_types::{EndpointStart, ParseDecimalError, RequestRate};
 use support::{at, endpoint};
 
 const TWO: RequestRate = RequestRate::per_second(2);
 const FIVE: RequestRate = RequestRate::per_second(5);
 
-fn hear(limits: &mut Limits, now: u64, asked: u64, word: LimitWord) -> HeardLimit {
-    limits.hear(at(now), &endpoint(1), at(asked), word, WordIn::Answer)
+fn hear(limits: &mut Limits, now: u64, asked: u64, word: LimitSignal) -> LimitUpdate {
+    limits.observe(at(now), &endpoint(1), at(asked), word, LimitSource::Response)
 }
 
 fn started(ms: u64) -> Endpoint {
@@ -21,80 +23,81 @@
 #[test]
 fn a_limit_holds_from_the_answer_that_names_it_to_one_that_was_asked_for_later_and_does_not() {
     let mut limits = Limits::default();
-    assert_eq!(hear(&mut limits, 10, 0, LimitWord::None), HeardLimit::Known);
-    assert_eq!(hear(&mut limits, 20, 0, LimitWord::Names(TWO)), HeardLimit::Changed);
-    assert_eq!(limits.of(&endpoint(1)), Some(TWO));
-    assert_eq!(hear(&mut limits, 30, 15, LimitWord::None), HeardLimit::Known);
-    assert_eq!(limits.of(&endpoint(1)), Some(TWO), "that answer may be older");
-    assert_eq!(hear(&mut limits, 40, 25, LimitWord::None), HeardLimit::Changed);
-    assert_eq!(limits.of(&endpoint(1)), None);
+    assert_eq!(hear(&mut limits, 10, 0, LimitSignal::None), LimitUpdate::Unchanged);
+    assert_eq!(hear(&mut limits, 20, 0, LimitSignal::Rate(TWO)), LimitUpdate::Changed);
+    assert_eq!(limits.rate(&endpoint(1)), Some(TWO));
+    assert_eq!(hear(&mut limits, 30, 15, LimitSignal::None), LimitUpdate::Unchanged);
+    assert_eq!(limits.rate(&endpoint(1)), Some(TWO), "that answer may be older");
+    assert_eq!(hear(&mut limits, 40, 25, LimitSignal::None), LimitUpdate::Changed);
+    assert_eq!(limits.rate(&endpoint(1)), None);
 }
 
 #[test]
 fn the_newest_of_two_limits_counts() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitWord::Names(TWO));
-    assert_eq!(hear(&mut limits, 20, 0, LimitWord::Names(FIVE)), HeardLimit::Changed);
-    assert_eq!(hear(&mut limits, 30, 0, LimitWord::Names(FIVE)), HeardLimit::Known);
-    assert_eq!(limits.of(&endpoint(1)), Some(FIVE));
+    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
+    assert_eq!(hear(&mut limits, 20, 0, LimitSignal::Rate(FIVE)), LimitUpdate::Changed);
+    assert_eq!(hear(&mut limits, 30, 0, LimitSignal::Rate(FIVE)), LimitUpdate::Unchanged);
+    assert_eq!(limits.rate(&endpoint(1)), Some(FIVE));
 }
 
 #[test]
 fn a_word_that_cannot_be_read_changes_nothing_and_is_told_once() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitWord::Names(TWO));
-    let bad = LimitWord::Bad(BadLimit::Rate(ParseDecimalError::Negative));
-    assert!(matches!(hear(&mut limits, 20, 15, bad), HeardLimit::Bad(_)));
-    assert_eq!(hear(&mut limits, 30, 15, bad), HeardLimit::Known);
-    assert_eq!(limits.of(&endpoint(1)), Some(TWO));
-    assert_eq!(hear(&mut limits, 40, 35, LimitWord::None), HeardLimit::Changed);
+    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
+    let bad = LimitSignal::Malformed(MalformedLimit::Rate(ParseDecimalError::Negative));
+    assert!(matches!(hear(&mut limits, 20, 15, bad), LimitUpdate::Malformed(_)));
+    assert_eq!(hear(&mut limits, 30, 15, bad), LimitUpdate::Unchanged);
+    assert_eq!(limits.rate(&endpoint(1)), Some(TWO));
+    assert_eq!(hear(&mut limits, 40, 35, LimitSignal::None), LimitUpdate::Changed);
     assert!(limits.is_empty());
 }
 
 #[test]
 fn a_report_ends_a_limit_only_if_reports_name_it() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitWord::Names(TWO));
+    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
     let report = |limits: &mut Limits, now, word| {
-        limits.hear(at(now), &endpoint(1), at(now - 1), word, WordIn::Report)
+        limits.observe(at(now), &endpoint(1), at(now - 1), word, LimitSource::Report)
     };
-    assert_eq!(report(&mut limits, 20, LimitWord::None), HeardLimit::Known);
+    assert_eq!(report(&mut limits, 20, LimitSignal::None), LimitUpdate::Unchanged);
     assert!(!limits.is_in_reports(&endpoint(1).id));
-    report(&mut limits, 30, LimitWord::Names(TWO));
+    report(&mut limits, 30, LimitSignal::Rate(TWO));
     assert!(limits.is_in_reports(&endpoint(1).id));
-    assert_eq!(report(&mut limits, 40, LimitWord::None), HeardLimit::Changed);
+    assert_eq!(report(&mut limits, 40, LimitSignal::None), LimitUpdate::Changed);
 }
 
 #[test]
 fn an_endpoint_that_has_started_again_has_no_limit() {
     let mut limits = Limits::default();
-    limits.hear(at(10), &started(1), at(0), LimitWord::Names(TWO), WordIn::Answer);
-    assert_eq!(limits.of(&started(1)), Some(TWO));
-    assert_eq!(limits.of(&started(2)), None);
-    limits.hear(at(20), &started(2), at(15), LimitWord::Names(FIVE), WordIn::Answer);
-    assert_eq!(limits.of(&started(2)), Some(FIVE));
-    let late = limits.hear(at(30), &started(1), at(0), LimitWord::Names(TWO), WordIn::Answer);
-    assert_eq!(late, HeardLimit::Known, "word of its former process");
+    limits.observe(at(10), &started(1), at(0), LimitSignal::Rate(TWO), LimitSource::Response);
+    assert_eq!(limits.rate(&started(1)), Some(TWO));
+    assert_eq!(limits.rate(&started(2)), None);
+    limits.observe(at(20), &started(2), at(15), LimitSignal::Rate(FIVE), LimitSource::Response);
+    assert_eq!(limits.rate(&started(2)), Some(FIVE));
+    let late =
+        limits.observe(at(30), &started(1), at(0), LimitSignal::Rate(TWO), LimitSource::Response);
+    assert_eq!(late, LimitUpdate::Unchanged, "word of its former process");
 }
 
 #[test]
 fn what_is_told_of_an_endpoint_that_is_gone_is_forgotten_after_a_while() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitWord::Names(TWO));
+    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
     limits.sweep(at(59_000), |_| true);
     assert_eq!(limits.len(), 1);
     limits.sweep(at(61_000), |_| false);
     assert_eq!(limits.len(), 1, "one that is there keeps its limit");
     limits.sweep(at(61_000), |_| true);
-    assert!(limits.is_unknown());
+    assert!(limits.has_no_records());
 }
 
 #[test]
 fn no_more_is_remembered_than_is_allowed_for() {
     let mut limits = Limits::default();
     for number in 0..5_000 {
-        let word = LimitWord::Names(TWO);
-        limits.hear(at(10), &endpoint(number), at(0), word, WordIn::Answer);
+        let word = LimitSignal::Rate(TWO);
+        limits.observe(at(10), &endpoint(number), at(0), word, LimitSource::Response);
     }
     assert_eq!(limits.len(), 4_096);
 }
@@ -121,7 +124,7 @@
 }
 
 fn tell(all: &mut [Limits], now: u64, from: usize, to: usize) {
-    let told: Option<NamedLimit> = all[from].known(&endpoint(1).id).cloned();
+    let told: Option<KnownLimit> = all[from].known(&endpoint(1).id).cloned();
     if let Some(told) = told {
         all[to].merge(at(now), &told);
     }
@@ -137,7 +140,7 @@
             match event {
                 Event::Hears { at, rate } => {
                     let word = rate.map(RequestRate::per_second);
-                    let word = word.map_or(LimitWord::None, LimitWord::Names);
+                    let word = word.map_or(LimitSignal::None, LimitSignal::Rate);
                     hear(&mut all[at], now, now - 1, word);
                 }
                 Event::Tells { from, to } => tell(&mut all, now, from, to),
@@ -148,7 +151,7 @@
                 (0..INSTANCES).for_each(|to| tell(&mut all, now + 10, from, to));
             }
         }
-        let rates: Vec<_> = all.iter().map(|limits| limits.of(&endpoint(1))).collect();
+        let rates: Vec<_> = all.iter().map(|limits| limits.rate(&endpoint(1))).collect();
         rates.iter().all(|rate| *rate == rates[0])
     }
 
--- a/crates/ringbend-gateway/tests/pace.rs
+++ b/crates/ringbend-gateway/tests/pace.rs
@@ -9,15 +9,17 @@
 
 use std::time::Duration;
 
-use ringbend_gateway::{Demand, Pace, PaceAsks, Placement, Wish, overdue_after, place_on_engines};
+use ringbend_gateway::{
+    Demand, Pace, PaceQueries, Placement, PlacementGoal, overdue_after, place_on_engines,
+};
 use support::{Scene, at, endpoint, ms, profile, work, work_id};
 
 const SLOW: f64 = 6.0;
 
 fn place(scene: &Scene, prompt_tokens: u64, first_in_ms: u64) -> Placement {
     let demand = Demand { prompt_tokens, answer_tokens: 1_000 };
-    let wish = Wish { demand, first_in: ms(first_in_ms), gap: ms(200) };
-    place_on_engines(scene.view(), &profile(), &scene.candidates(), &wish).unwrap()
+    let goal = PlacementGoal { demand, first_in: ms(first_in_ms), gap: ms(200) };
+    place_on_engines(scene.view(), &profile(), &scene.candidates(), &goal).unwrap()
 }
 
 fn slow(scene: &mut Scene, engines: std::ops::RangeInclusive<usize>) {
@@ -117,7 +119,7 @@
 
 #[test]
 fn an_engine_that_many_suspect_is_asked_once() {
-    let mut asks = PaceAsks::default();
+    let mut asks = PaceQueries::default();
     let asked = (0..600).filter(|time| asks.begin(at(*time), &endpoint(1).id, false)).count();
     assert_eq!(asked, 1);
     assert!(
--- a/crates/ringbend-gateway/tests/placement.rs
+++ b/crates/ringbend-gateway/tests/placement.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use ringbend_gateway::{
-    Demand, LoadBook, Placement, TrustEvent, Wish, Work, place_on_engines, stake,
+    Demand, HealthEvent, LoadTracker, Placement, PlacementGoal, Work, place_on_engines, stake,
 };
 use support::{Scene, at, endpoint, ms, profile, work, work_id};
 
@@ -19,8 +19,8 @@
 fn place(scene: &mut Scene, prompt_tokens: u64, first_in_ms: u64, gap_ms: u64) -> Placement {
     scene.load.advance(at(0));
     let demand = Demand { prompt_tokens, answer_tokens: 1_000 };
-    let wish = Wish { demand, first_in: ms(first_in_ms), gap: ms(gap_ms) };
-    place_on_engines(scene.view(), &profile(), &scene.candidates(), &wish).unwrap()
+    let goal = PlacementGoal { demand, first_in: ms(first_in_ms), gap: ms(gap_ms) };
+    place_on_engines(scene.view(), &profile(), &scene.candidates(), &goal).unwrap()
 }
 
 fn engines(placement: &Placement) -> Vec<String> {
@@ -96,13 +96,13 @@
 
 #[test]
 fn a_newer_part_is_read_before_an_older_one_and_whole_prompts_last() {
-    let mut load = LoadBook::default();
+    let mut load = LoadTracker::default();
     let helped = |part| Work { helpers: [endpoint(2).id].into_iter().collect(), ..work(1, part) };
     load.place(at(0), work_id(1), work(1, ms(30)));
     load.place(at(0), work_id(2), helped(ms(100)));
     load.place(at(0), work_id(3), helped(ms(200)));
     let order: Vec<u128> =
-        load.of(&endpoint(1).id).readers().map(|reader| reader.left.as_millis()).collect();
+        load.of(&endpoint(1).id).prefills().map(|reader| reader.left.as_millis()).collect();
     assert_eq!(order, [200, 100, 30]);
     // Requests wait to write on it, so it reads for most and not all of its time.
     load.advance(at(200));
@@ -134,7 +134,7 @@
 
 #[test]
 fn work_that_nobody_ended_is_forgotten_after_its_deadline() {
-    let mut load = LoadBook::default();
+    let mut load = LoadTracker::default();
     load.place(at(0), work_id(1), Work { until: at(1_000), ..work(1, ms(10)) });
     load.place(at(5_000), work_id(2), work(2, ms(10)));
     assert_eq!(load.open_requests(), 1);
@@ -147,7 +147,7 @@
 fn instances_that_know_of_no_other_begin_with_different_engines() {
     let first = |draw: fn(u64) -> Option<u64>| {
         let firsts = (0..9).map(|instance| {
-            let mut scene = Scene { alone: draw(instance), ..Scene::new(18) };
+            let mut scene = Scene { spread_seed: draw(instance), ..Scene::new(18) };
             place(&mut scene, 3_000, 300, 200).lead
         });
         firsts.collect::<std::collections::BTreeSet<_>>().len()
@@ -159,14 +159,14 @@
 #[test]
 fn an_engine_that_failed_is_avoided_for_a_while() {
     let mut scene = Scene::new(2);
-    scene.trust.note(at(0), &endpoint(1).id, TrustEvent::Bad);
+    scene.health.note(at(0), &endpoint(1).id, HealthEvent::Bad);
     assert_eq!(place(&mut scene, 3_000, 300, 200).lead, endpoint(2).id);
 }
 
 /// Word of its end was lost; what was placed a moment ago may have crossed the list.
 #[test]
 fn work_that_its_instance_no_longer_lists_has_ended() {
-    let mut load = LoadBook::default();
+    let mut load = LoadTracker::default();
     load.place(at(0), work_id(1), work(1, ms(10)));
     load.place(at(0), work_id(2), work(2, ms(10)));
     load.place(at(900), work_id(3), work(3, ms(10)));
@@ -177,14 +177,14 @@
 /// Told again by another scheduler, its reading does not begin anew.
 #[test]
 fn work_that_is_told_again_goes_on() {
-    let mut load = LoadBook::default();
-    load.place_told(at(0), work_id(1), work(1, ms(100)), false);
+    let mut load = LoadTracker::default();
+    load.merge_placed(at(0), work_id(1), work(1, ms(100)), false);
     load.advance(at(60));
     let left = load.of(&endpoint(1).id).backlog();
-    load.place_told(at(60), work_id(1), work(1, ms(100)), false);
+    load.merge_placed(at(60), work_id(1), work(1, ms(100)), false);
     assert_eq!(load.of(&endpoint(1).id).backlog(), left);
     // Placed elsewhere by another one, that is where it runs.
-    load.place_told(at(60), work_id(1), work(2, ms(100)), false);
+    load.merge_placed(at(60), work_id(1), work(2, ms(100)), false);
     assert_eq!(load.of(&endpoint(1).id).backlog(), ms(0));
     assert_eq!(load.of(&endpoint(2).id).backlog(), ms(100));
 }
--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -6,8 +6,8 @@
 
 use quickcheck::{TestResult, quickcheck};
 use ringbend_gateway::{
-    Demand, EndedProcess, HELD_AT, LoadBook, Quarantine, SuspectState, Suspicion, Wish, Work,
-    place_on_engines, place_on_service,
+    Demand, EndedProcess, LoadTracker, PlacementGoal, Quarantine, STRIKES_TO_HOLD, SuspectState,
+    Suspicion, Work, place_on_engines, place_on_service,
 };
 use ringbend_types::{EndpointStart, Fingerprint, Timestamp};
 use support::{Scene, at, endpoint, ms, profile, work, work_id};
@@ -34,11 +34,11 @@
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(1), 1);
     assert_eq!(quarantine.state(request(1)), SuspectState::Suspect(1));
-    struck(&mut quarantine, request(2), HELD_AT);
+    struck(&mut quarantine, request(2), STRIKES_TO_HOLD);
     assert_eq!(quarantine.state(request(2)), SuspectState::Held);
     assert_eq!(quarantine.state(request(1)), SuspectState::Suspect(1));
     assert_eq!(quarantine.state(request(3)), SuspectState::Clear);
-    assert_eq!(quarantine.held(), 1);
+    assert_eq!(quarantine.held_count(), 1);
 }
 
 #[test]
@@ -66,9 +66,9 @@
 /// that endpoint ended by it, and was held (soak, seeds 202 and 213).
 #[test]
 fn an_endpoint_counts_as_a_suspects_for_a_while_after_its_run() {
-    let mut load = LoadBook::default();
+    let mut load = LoadTracker::default();
     let on = endpoint(1).id;
-    let suspects = |load: &LoadBook, now| load.suspects_on(at(now), &on).collect::<Vec<_>>();
+    let suspects = |load: &LoadTracker, now| load.suspects_on(at(now), &on).collect::<Vec<_>>();
     load.place(at(0), work_id(1), Work { suspect: Some(request(1)), ..work(1, ms(0)) });
     assert_eq!(suspects(&load, 60), [request(1)]);
     load.end(at(60), work_id(1));
@@ -94,10 +94,10 @@
     let (mut one, mut two) = (Quarantine::default(), Quarantine::default());
     one.strike(at(0), request(1), process(1), 0);
     two.strike(at(0), request(1), process(2), 0);
-    let (of_one, of_two) = (one.of(request(1)).cloned(), two.of(request(1)).cloned());
+    let (of_one, of_two) = (one.get(request(1)).cloned(), two.get(request(1)).cloned());
     one.merge(at(1), &of_two.unwrap());
     two.merge(at(1), &of_one.unwrap());
-    assert_eq!(one.of(request(1)), two.of(request(1)));
+    assert_eq!(one.get(request(1)), two.get(request(1)));
     assert_eq!(one.state(request(1)), SuspectState::Suspect(1));
 }
 
@@ -105,7 +105,7 @@
 fn a_run_that_ends_well_clears_also_against_late_word_of_former_strikes() {
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(1), 2);
-    let late = quarantine.of(request(1)).unwrap().clone();
+    let late = quarantine.get(request(1)).unwrap().clone();
     assert!(quarantine.clear(at(10), request(1)));
     assert_eq!(quarantine.state(request(1)), SuspectState::Clear);
     assert!(!quarantine.merge(at(11), &late));
@@ -117,16 +117,16 @@
 #[test]
 fn a_held_request_has_two_tries_at_most_until_one_ends_well() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(1), HELD_AT);
+    struck(&mut quarantine, request(1), STRIKES_TO_HOLD);
     let held = Timestamp(2_000);
     assert_eq!(quarantine.try_due(held, request(1)), None);
     assert_eq!(quarantine.until_try(at(2), request(1)), Some(MINUTE));
     assert_eq!(quarantine.try_due(at(2) + MINUTE, request(1)), Some(1));
-    quarantine.tried(at(2) + MINUTE, request(1), 1);
-    quarantine.strike(at(3) + MINUTE, request(1), process(7), HELD_AT);
+    quarantine.record_try(at(2) + MINUTE, request(1), 1);
+    quarantine.strike(at(3) + MINUTE, request(1), process(7), STRIKES_TO_HOLD);
     assert_eq!(quarantine.try_due(at(2) + MINUTE * 10, request(1)), None);
     assert_eq!(quarantine.try_due(at(2) + MINUTE * 11, request(1)), Some(2));
-    quarantine.tried(at(2) + MINUTE * 11, request(1), 2);
+    quarantine.record_try(at(2) + MINUTE * 11, request(1), 2);
     assert_eq!(quarantine.until_try(at(2) + MINUTE * 900, request(1)), None);
     quarantine.clear(at(3) + MINUTE * 900, request(1));
     assert_eq!(quarantine.state(request(1)), SuspectState::Clear);
@@ -136,12 +136,12 @@
 fn a_suspect_is_forgotten_after_two_minutes_and_a_held_request_after_a_day() {
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(1), 1);
-    struck(&mut quarantine, request(2), HELD_AT);
+    struck(&mut quarantine, request(2), STRIKES_TO_HOLD);
     struck(&mut quarantine, request(3), 2);
     assert_eq!(quarantine.sweep(at(10) + MINUTE * 2), [request(3)]);
     assert_eq!(quarantine.len(), 1);
     quarantine.sweep(at(10) + MINUTE * 60 * 23);
-    assert_eq!(quarantine.held(), 1);
+    assert_eq!(quarantine.held_count(), 1);
     quarantine.sweep(at(10) + MINUTE * 60 * 24);
     assert!(quarantine.is_empty());
 }
@@ -155,20 +155,20 @@
         Fingerprint::of_digest(&digest)
     };
     for number in 0..10 {
-        struck(&mut quarantine, numbered(number), HELD_AT);
+        struck(&mut quarantine, numbered(number), STRIKES_TO_HOLD);
     }
     for number in 10..6_000 {
         quarantine.strike(at(number), numbered(number), process(1), 0);
     }
     assert!(quarantine.len() <= 4_096, "{}", quarantine.len());
-    assert_eq!(quarantine.held(), 10);
+    assert_eq!(quarantine.held_count(), 10);
     assert_eq!(quarantine.state(numbered(5_999)), SuspectState::Suspect(1));
 }
 
 #[test]
 fn one_account_changing_its_requests_pushes_out_no_held_one_of_another() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(255), HELD_AT);
+    struck(&mut quarantine, request(255), STRIKES_TO_HOLD);
     for number in 0..5_000u64 {
         let mut digest = [1; 32];
         digest[..8].copy_from_slice(&number.to_be_bytes());
@@ -194,8 +194,10 @@
 }
 
 fn tell(instances: &mut [Quarantine; 3], now: Timestamp, from: usize, to: usize) {
-    let told: Vec<Suspicion> =
-        [request(0), request(1)].iter().filter_map(|of| instances[from].of(*of).cloned()).collect();
+    let told: Vec<Suspicion> = [request(0), request(1)]
+        .iter()
+        .filter_map(|of| instances[from].get(*of).cloned())
+        .collect();
     for told in &told {
         instances[to].merge(now, told);
     }
@@ -221,14 +223,14 @@
             play(&mut instances, at(number as u64), *event);
         }
         let own: Vec<Suspicion> =
-            [request(0), request(1)].iter().filter_map(|of| instances[0].of(*of).cloned()).collect();
+            [request(0), request(1)].iter().filter_map(|of| instances[0].get(*of).cloned()).collect();
         own.iter().all(|told| !instances[0].merge(at(9_999), told))
     }
 }
 
-fn wish() -> Wish {
+fn goal() -> PlacementGoal {
     let demand = Demand { prompt_tokens: 1_000, answer_tokens: 100 };
-    Wish { demand, first_in: ms(300), gap: ms(200) }
+    PlacementGoal { demand, first_in: ms(300), gap: ms(200) }
 }
 
 #[test]
@@ -239,10 +241,10 @@
     scene.load.place(at(0), work_id(2), suspect(2));
     scene.load.place(at(0), work_id(3), work(3, ms(40)));
     let candidates = scene.candidates();
-    let usual = place_on_engines(scene.view(), &profile(), &candidates, &wish()).unwrap();
+    let usual = place_on_engines(scene.view(), &profile(), &candidates, &goal()).unwrap();
     assert_ne!(usual.lead, endpoint(3).id);
-    let view = ringbend_gateway::View { is_suspect: true, ..scene.view() };
-    let apart = place_on_engines(view, &profile(), &candidates, &wish()).unwrap();
+    let view = ringbend_gateway::FleetView { is_suspect: true, ..scene.view() };
+    let apart = place_on_engines(view, &profile(), &candidates, &goal()).unwrap();
     assert_eq!(apart.lead, endpoint(3).id);
     assert_eq!(place_on_service(view, &candidates).unwrap().lead, endpoint(3).id);
 }
@@ -255,8 +257,8 @@
     scene.load.mark_suspect(work_id(1), request(1));
     assert!(scene.load.last_placed(request(1)).is_some());
     let told = ringbend_gateway::Work { suspect: Some(request(2)), ..work(1, ms(1)) };
-    scene.load.place_told(at(1), work_id(2), work(1, ms(1)), true);
-    scene.load.place_told(at(2), work_id(2), told, true);
+    scene.load.merge_placed(at(1), work_id(2), work(1, ms(1)), true);
+    scene.load.merge_placed(at(2), work_id(2), told, true);
     assert!(scene.load.last_placed(request(2)).is_some());
     scene.load.end(at(3), work_id(2));
     assert!(scene.load.last_placed(request(2)).is_none());
--- a/crates/ringbend-gateway/tests/repeats.rs
+++ b/crates/ringbend-gateway/tests/repeats.rs
@@ -5,27 +5,29 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use ringbend_gateway::{Attempts, BudgetBounds, Next, Repeat, RepeatBudget, SendEnd};
+use ringbend_gateway::{
+    Attempts, NextStep, RepeatPolicy, RetryBudget, RetryBudgetBounds, SendOutcome,
+};
 use ringbend_types::{RunState, Timestamp};
 use support::{at, endpoint, service};
 
-const BOUNDS: BudgetBounds =
-    BudgetBounds { ratio: 0.2, window: Duration::from_secs(10), allowance: 106.0 };
+const BOUNDS: RetryBudgetBounds =
+    RetryBudgetBounds { ratio: 0.2, window: Duration::from_secs(10), allowance: 106.0 };
 
 /// A budget that limits nothing: one request allows a million repeats.
-fn free_budget() -> RepeatBudget {
-    let mut budget = RepeatBudget::new(BudgetBounds { ratio: 1e7, ..BOUNDS });
-    budget.request(at(0), &service("s"));
+fn free_budget() -> RetryBudget {
+    let mut budget = RetryBudget::new(RetryBudgetBounds { ratio: 1e7, ..BOUNDS });
+    budget.record_request(at(0), &service("s"));
     budget
 }
 
-const ENDS: [SendEnd; 4] =
-    [SendEnd::NotSent, SendEnd::NotRun, SendEnd::Unknown, SendEnd::FailedAnswer];
+const ENDS: [SendOutcome; 4] =
+    [SendOutcome::NotSent, SendOutcome::NotRun, SendOutcome::Unknown, SendOutcome::FailedAnswer];
 
 /// Walks all series of six ends and checks what each request was run and told.
 #[test]
 fn no_series_of_ends_runs_a_request_too_often_or_tells_an_untrue_not_run() {
-    for repeat in [Repeat::AtMostOnce, Repeat::Idempotent, Repeat::Resumable] {
+    for repeat in [RepeatPolicy::AtMostOnce, RepeatPolicy::Idempotent, RepeatPolicy::Resumable] {
         for max_runs in 1..=3 {
             for series in 0..4usize.pow(6) {
                 walk(repeat, max_runs, series);
@@ -34,29 +36,30 @@
     }
 }
 
-fn walk(repeat: Repeat, max_runs: u8, mut series: usize) {
+fn walk(repeat: RepeatPolicy, max_runs: u8, mut series: usize) {
     let mut attempts = Attempts::new(repeat, max_runs, at(1_000));
     let (mut budget, mut runs) = (free_budget(), 0);
     for _ in 0..6 {
         let end = ENDS[series % 4];
         series /= 4;
-        attempts.sending(&endpoint(1).id);
-        runs += u8::from(matches!(end, SendEnd::Unknown | SendEnd::FailedAnswer));
+        attempts.record_send(&endpoint(1).id);
+        runs += u8::from(matches!(end, SendOutcome::Unknown | SendOutcome::FailedAnswer));
         assert!(runs <= max_runs, "run {runs} times of {max_runs}");
         assert!(runs <= 1 || repeat.may_repeat(), "run twice");
-        match attempts.ended(at(1), end, &service("s"), &mut budget) {
-            Next::SendAgain => {}
-            Next::PassOn => return assert_eq!(end, SendEnd::FailedAnswer),
-            Next::GiveUp(state) => return assert_eq!(state == RunState::NotRun, runs == 0),
+        match attempts.record_outcome(at(1), end, &service("s"), &mut budget) {
+            NextStep::Retry => {}
+            NextStep::ForwardFailure => return assert_eq!(end, SendOutcome::FailedAnswer),
+            NextStep::GiveUp(state) => return assert_eq!(state == RunState::NotRun, runs == 0),
         }
     }
 }
 
 #[test]
 fn nothing_is_sent_after_the_deadline() {
-    let mut attempts = Attempts::new(Repeat::Idempotent, 3, at(1_000));
-    let next = attempts.ended(at(1_000), SendEnd::NotSent, &service("s"), &mut free_budget());
-    assert_eq!(next, Next::GiveUp(RunState::NotRun));
+    let mut attempts = Attempts::new(RepeatPolicy::Idempotent, 3, at(1_000));
+    let next =
+        attempts.record_outcome(at(1_000), SendOutcome::NotSent, &service("s"), &mut free_budget());
+    assert_eq!(next, NextStep::GiveUp(RunState::NotRun));
     assert!(!attempts.replace_silent(at(1_000), &service("s"), &mut free_budget()));
 }
 
@@ -66,14 +69,14 @@
         let mut attempts = Attempts::new(repeat, runs, at(1_000));
         attempts.replace_silent(at(1), &service("s"), &mut free_budget())
     };
-    assert!(may(Repeat::Resumable, 2));
-    assert!(!may(Repeat::Resumable, 1));
-    assert!(!may(Repeat::AtMostOnce, 2));
+    assert!(may(RepeatPolicy::Resumable, 2));
+    assert!(!may(RepeatPolicy::Resumable, 1));
+    assert!(!may(RepeatPolicy::AtMostOnce, 2));
 }
 
 /// Whether any window has more repeats than the requests allow that came in it, in the one before or in
 /// the one half a window before, whichever had most.
-fn over_budget(bounds: &BudgetBounds, requests: &[Timestamp], repeats: &[Timestamp]) -> bool {
+fn over_budget(bounds: &RetryBudgetBounds, requests: &[Timestamp], repeats: &[Timestamp]) -> bool {
     let within = |times: &[Timestamp], from: Timestamp, to: Timestamp| {
         times.iter().filter(|at| **at >= from && **at <= to).count() as f64
     };
@@ -91,18 +94,18 @@
     fn all_instances_together_keep_to_the_budget(steps: Vec<(u8, u8, bool)>) -> bool {
         const INSTANCES: usize = 9;
         let new = || {
-            let mut budget = RepeatBudget::new(BOUNDS);
+            let mut budget = RetryBudget::new(BOUNDS);
             budget.set_instances(at(0), INSTANCES);
             budget
         };
-        let mut budgets: Vec<RepeatBudget> = (0..INSTANCES).map(|_| new()).collect();
+        let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| new()).collect();
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         // They have known each other for long.
         let (mut now, name, mut restarts) = (at(60_000), service("s"), 0);
         for (who, pause, restart) in steps {
             now = now + Duration::from_millis(u64::from(pause));
             let budget = &mut budgets[usize::from(who) % INSTANCES];
-            budget.request(now, &name);
+            budget.record_request(now, &name);
             requests.push(now);
             // The allowance of three more instances is kept back, so as many may restart.
             if restart && who % 50 == 0 && restarts < 3 {
@@ -124,9 +127,8 @@
     const INSTANCES: usize = 79;
     let name = service("s");
     // The allowance of that deployment.
-    let bounds = BudgetBounds { allowance: 234.0, ..BOUNDS };
-    let mut budgets: Vec<RepeatBudget> =
-        (0..INSTANCES).map(|_| RepeatBudget::new(bounds)).collect();
+    let bounds = RetryBudgetBounds { allowance: 234.0, ..BOUNDS };
+    let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| RetryBudget::new(bounds)).collect();
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
     for ms in (0..9_000).step_by(100) {
         let now = at(60_000 + ms);
@@ -138,7 +140,7 @@
         for budget in &mut budgets {
             budget.set_instances(now, known);
             if ms % 500 == 0 {
-                budget.request(now, &name);
+                budget.record_request(now, &name);
                 requests.push(now);
             }
             while budget.take(now, &name) {
@@ -159,13 +161,13 @@
     const INSTANCES: usize = 80;
     let name = service("s");
     // The bounds of that deployment.
-    let bounds = BudgetBounds { allowance: 235.0, ..BOUNDS };
+    let bounds = RetryBudgetBounds { allowance: 235.0, ..BOUNDS };
     let new = |now| {
-        let mut budget = RepeatBudget::new(bounds);
+        let mut budget = RetryBudget::new(bounds);
         budget.set_instances(now, INSTANCES);
         budget
     };
-    let mut budgets: Vec<RepeatBudget> = (0..INSTANCES).map(|_| new(at(0))).collect();
+    let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| new(at(0))).collect();
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
     for ms in (0..20_000).step_by(100) {
         let now = at(60_000 + ms);
@@ -174,7 +176,7 @@
         }
         for budget in &mut budgets {
             if ms % 1_000 == 0 {
-                budget.request(now, &name);
+                budget.record_request(now, &name);
                 requests.push(now);
             }
             // Trouble begins a second before the kill.
--- a/crates/ringbend-gateway/tests/schedulers.rs
+++ b/crates/ringbend-gateway/tests/schedulers.rs
@@ -6,7 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use ringbend_gateway::{HEARTBEAT, Part, Peers, Role, SCHEDULERS, SILENCE, Standing};
+use ringbend_gateway::{
+    HEARTBEAT_INTERVAL, InstanceRank, PEER_TIMEOUT, PeerStatus, Peers, Role,
+    SCHEDULERS_PER_DATA_CENTRE,
+};
 use ringbend_types::{DataCentre, Timestamp};
 use support::{at, ms};
 
@@ -39,7 +42,7 @@
         for centre in 0..centres {
             for number in 0..each {
                 let capacity = if number + LARGE_ONES >= each { LARGE } else { SMALL };
-                let own = Standing::new(capacity, address(centre, number));
+                let own = InstanceRank::new(capacity, address(centre, number));
                 let peers = Peers::new(fleet.now, data_centre(centre), own);
                 fleet.instances.insert(own.address(), (centre, capacity, peers));
             }
@@ -58,15 +61,17 @@
 
     /// Each that finds itself among the best placed of its rows schedules at once.
     fn take_up(&mut self) {
-        let standings: Vec<(usize, Standing)> = self
+        let standings: Vec<(usize, InstanceRank)> = self
             .instances
             .iter()
-            .map(|(address, (centre, capacity, _))| (*centre, Standing::new(*capacity, *address)))
+            .map(|(address, (centre, capacity, _))| {
+                (*centre, InstanceRank::new(*capacity, *address))
+            })
             .collect();
         for (centre, _, peers) in self.instances.values_mut() {
             let at_home = standings.iter().filter(|(other, _)| other == centre);
             if peers.is_needed_beside(at_home.map(|(_, standing)| *standing)) {
-                peers.called_up();
+                peers.become_scheduler();
             }
         }
     }
@@ -83,38 +88,38 @@
         self.told += 1;
         let (centre, capacity, peers) = &self.instances[&from];
         let (centre, capacity) = (data_centre(*centre), *capacity);
-        let instances = peers.instances_at_home(self.now);
-        let part = Part { role: peers.role(), instances, fleet: peers.instances(self.now) };
+        let instances = peers.local_instances(self.now);
+        let part = PeerStatus { role: peers.role(), instances, fleet: peers.instances(self.now) };
         let start = u64::from(u32::from(*from.ip()));
         let (_, _, hearer) = self.instances.get_mut(&to).unwrap();
-        hearer.heard(self.now, from, start);
+        hearer.record_digest(self.now, from, start);
         hearer.describe(from, centre, capacity);
-        hearer.takes_part(from, part);
-        hearer.review(self.now);
+        hearer.set_status(from, part);
+        hearer.update_role(self.now);
     }
 
     /// Whom an instance tells that it is there.
     fn audience(&self, from: SocketAddrV4) -> Vec<SocketAddrV4> {
         let (_, _, peers) = &self.instances[&from];
         if peers.schedules() {
-            peers.fellows(self.now).into_iter().chain(peers.members(self.now)).collect()
+            peers.other_schedulers(self.now).into_iter().chain(peers.members(self.now)).collect()
         } else {
-            peers.home_schedulers(self.now).to_vec()
+            peers.local_schedulers(self.now).to_vec()
         }
     }
 
     /// A heartbeat of all instances.
     fn beat(&mut self) {
-        self.now = self.now + HEARTBEAT;
+        self.now = self.now + HEARTBEAT_INTERVAL;
         for from in self.addresses() {
             self.instances.get_mut(&from).unwrap().2.sweep(self.now);
-            self.instances.get_mut(&from).unwrap().2.review(self.now);
+            self.instances.get_mut(&from).unwrap().2.update_role(self.now);
             for to in self.audience(from) {
                 self.tell(from, to);
             }
-            for to in self.instances[&from].2.wanted(self.now) {
+            for to in self.instances[&from].2.promotion_candidates(self.now) {
                 if let Some((_, _, peers)) = self.instances.get_mut(&to) {
-                    peers.called_up();
+                    peers.become_scheduler();
                 }
             }
         }
@@ -128,10 +133,12 @@
 
 #[test]
 fn all_schedule_where_there_are_few() {
-    let mut fleet = Fleet::start(3, SCHEDULERS);
+    let mut fleet = Fleet::start(3, SCHEDULERS_PER_DATA_CENTRE);
     fleet.beat();
     assert!(fleet.instances.values().all(|(_, _, peers)| peers.schedules()));
-    assert!(fleet.instances.values().all(|(_, _, peers)| peers.fellows(fleet.now).len() == 8));
+    assert!(
+        fleet.instances.values().all(|(_, _, peers)| peers.other_schedulers(fleet.now).len() == 8)
+    );
 }
 
 /// After a loss of all nobody schedules yet. Where each that hears no scheduler became one, all did,
@@ -148,18 +155,18 @@
 /// The best placed may be the last to start; until then others do their part.
 #[test]
 fn instances_that_hear_nobody_schedule_until_better_placed_ones_do() {
-    let own = |number| Standing::new(SMALL, address(0, number));
+    let own = |number| InstanceRank::new(SMALL, address(0, number));
     let mut late = Peers::new(at(0), data_centre(0), own(9));
-    assert!(!late.review(at(100)));
+    assert!(!late.update_role(at(100)));
     assert_eq!(late.role(), Role::Starting);
-    assert!(late.review(at(300)));
+    assert!(late.update_role(at(300)));
     assert!(late.schedules());
-    for number in 0..SCHEDULERS {
-        let part = Part { role: Role::Scheduler, ..Part::default() };
-        late.heard(at(400), address(0, number), number as u64);
+    for number in 0..SCHEDULERS_PER_DATA_CENTRE {
+        let part = PeerStatus { role: Role::Scheduler, ..PeerStatus::default() };
+        late.record_digest(at(400), address(0, number), number as u64);
         late.describe(address(0, number), data_centre(0), LARGE);
-        late.takes_part(address(0, number), part);
-        assert_eq!(late.review(at(400)), number + 1 == SCHEDULERS);
+        late.set_status(address(0, number), part);
+        assert_eq!(late.update_role(at(400)), number + 1 == SCHEDULERS_PER_DATA_CENTRE);
     }
     assert_eq!(late.role(), Role::Member);
 }
@@ -170,23 +177,23 @@
     let mut fleet = Fleet::start(1, 8);
     for number in 0..4 {
         let (_, _, peers) = fleet.instances.get_mut(&address(0, number)).unwrap();
-        peers.called_up();
+        peers.become_scheduler();
     }
     (0..3).for_each(|_| fleet.beat());
-    assert_eq!(fleet.schedulers(0).len(), SCHEDULERS);
+    assert_eq!(fleet.schedulers(0).len(), SCHEDULERS_PER_DATA_CENTRE);
 }
 
 /// One that did not answer may have started since; one that is heard needs no greeting.
 #[test]
 fn an_instance_that_was_not_there_is_greeted_again() {
-    let mut peers = Peers::new(at(0), data_centre(0), Standing::new(SMALL, address(0, 0)));
+    let mut peers = Peers::new(at(0), data_centre(0), InstanceRank::new(SMALL, address(0, 0)));
     let other = address(0, 1);
-    assert!(peers.greets(at(0), other));
-    assert!(!peers.greets(at(10), other));
-    assert!(peers.greets(at(100), other));
-    peers.heard(at(101), other, 7);
-    assert!(!peers.greets(at(300), other));
-    assert!(peers.greets(at(101) + SILENCE, other));
+    assert!(peers.begin_greeting(at(0), other));
+    assert!(!peers.begin_greeting(at(10), other));
+    assert!(peers.begin_greeting(at(100), other));
+    peers.record_digest(at(101), other, 7);
+    assert!(!peers.begin_greeting(at(300), other));
+    assert!(peers.begin_greeting(at(101) + PEER_TIMEOUT, other));
 }
 
 /// A placement is told to the other schedulers alone. With 300 instances and as many placements a
@@ -201,11 +208,11 @@
         let instances = 5 * each;
         // Three schedulers of each of five data centres, and three of the own one for each instance.
         assert!(
-            fleet.told <= 15 * 14 + 2 * SCHEDULERS * instances,
+            fleet.told <= 15 * 14 + 2 * SCHEDULERS_PER_DATA_CENTRE * instances,
             "{} by {instances}",
             fleet.told
         );
-        let fellows = |peers: &Peers| peers.fellows(fleet.now).len();
+        let fellows = |peers: &Peers| peers.other_schedulers(fleet.now).len();
         assert!(fleet.instances.values().all(|(_, _, peers)| fellows(peers) <= 15));
     }
 }
@@ -233,7 +240,7 @@
     for (_, _, peers) in fleet.instances.values().filter(|(_, _, peers)| !peers.schedules()) {
         *asked.entry(peers.scheduler(fleet.now, &[]).unwrap()).or_default() += 1;
     }
-    assert_eq!(asked.len(), SCHEDULERS);
+    assert_eq!(asked.len(), SCHEDULERS_PER_DATA_CENTRE);
     assert!(asked.values().all(|count| (10..=30).contains(count)), "{asked:?}");
 }
 
@@ -243,10 +250,10 @@
     fleet.beat();
     fleet.instances.remove(&address(0, 19));
     fleet.instances.remove(&address(0, 18));
-    let beats = SILENCE.as_millis() / HEARTBEAT.as_millis() + 2;
+    let beats = PEER_TIMEOUT.as_millis() / HEARTBEAT_INTERVAL.as_millis() + 2;
     (0..beats).for_each(|_| fleet.beat());
     assert_eq!(fleet.schedulers(0), [address(0, 0), address(0, 1), address(0, 17)]);
-    assert_eq!(fleet.schedulers(1).len(), SCHEDULERS);
+    assert_eq!(fleet.schedulers(1).len(), SCHEDULERS_PER_DATA_CENTRE);
 }
 
 /// Nobody is left who knows the others of that data centre: each begins by itself.
@@ -255,7 +262,7 @@
     let mut fleet = Fleet::start(2, 20);
     fleet.beat();
     (17..20).for_each(|number| drop(fleet.instances.remove(&address(0, number))));
-    let beats = SILENCE.as_millis() / HEARTBEAT.as_millis() + 2;
+    let beats = PEER_TIMEOUT.as_millis() / HEARTBEAT_INTERVAL.as_millis() + 2;
     (0..beats).for_each(|_| fleet.beat());
     assert_eq!(fleet.schedulers(0).len(), 17);
     // Once they hear each other again, as after a read of their rows, three are enough.
@@ -274,7 +281,7 @@
     let member = address(0, 0);
     let first = fleet.instances[&member].2.scheduler(fleet.now, &[]).unwrap();
     let now = fleet.now;
-    fleet.instances.get_mut(&member).unwrap().2.doubt(now, first);
+    fleet.instances.get_mut(&member).unwrap().2.mark_unresponsive(now, first);
     let second = fleet.instances[&member].2.scheduler(now, &[]).unwrap();
     assert_ne!(second, first);
     let third = fleet.instances[&member].2.scheduler(now, &[second]).unwrap();
@@ -296,7 +303,7 @@
     for engine in support::fleet(60) {
         let asker = |own: &SocketAddrV4| {
             let (_, _, peers) = &fleet.instances[own];
-            peers.asker(fleet.now, &engine.id).unwrap_or(*own)
+            peers.probing_scheduler(fleet.now, &engine.id).unwrap_or(*own)
         };
         let askers: BTreeSet<SocketAddrV4> = schedulers.iter().map(asker).collect();
         assert_eq!(askers.len(), 1, "{engine:?}");
--- a/crates/ringbend-gateway/tests/start.rs
+++ b/crates/ringbend-gateway/tests/start.rs
@@ -11,7 +11,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use ringbend_gateway::{Demand, Placement, Wish, Work, WorkId, place_on_engines, stake};
+use ringbend_gateway::{Demand, Placement, PlacementGoal, Work, WorkId, place_on_engines, stake};
 use ringbend_types::{EndpointId, Timestamp};
 use support::{Scene, at, ms, profile};
 
@@ -70,11 +70,11 @@
         let from = self.rng.random_range(0..self.instances.len());
         let alone = (now < self.heard_from).then(|| self.rng.random());
         let scene = &mut self.instances[from];
-        (scene.now, scene.alone) = (now, alone);
+        (scene.now, scene.spread_seed) = (now, alone);
         scene.load.advance(now);
-        let wish = Wish { demand, first_in: aim, gap: ms(250) };
+        let goal = PlacementGoal { demand, first_in: aim, gap: ms(250) };
         let placement =
-            place_on_engines(scene.view(), &profile(), &scene.candidates(), &wish).unwrap();
+            place_on_engines(scene.view(), &profile(), &scene.candidates(), &goal).unwrap();
         self.sequence += 1;
         let id = WorkId { instance: from as u64, sequence: self.sequence };
         let work = work(scene, demand, aim, &placement);
--- a/crates/ringbend-gateway/tests/streams.rs
+++ b/crates/ringbend-gateway/tests/streams.rs
@@ -1,13 +1,13 @@
 //! Events are cut the same way however their bytes come.
 
 use quickcheck::quickcheck;
-use ringbend_gateway::{Event, EventCutter};
+use ringbend_gateway::{Event, EventSplitter};
 
 const STREAM: &[u8] =
     b"id: 7\ndata: a\n\nid:8\r\ndata: b\r\n\r\n: comment\n\nversion: 3\nid: 10\n\n";
 
 fn cut(pieces: &[&[u8]]) -> (Vec<Event>, bool) {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let events = pieces.iter().flat_map(|piece| cutter.push(piece).unwrap()).collect();
     (events, cutter.is_between_events())
 }
@@ -29,7 +29,7 @@
 
 #[test]
 fn an_event_without_end_is_refused() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let long = vec![b'x'; 600_000];
     assert!(cutter.push(&long).is_ok());
     assert!(cutter.push(&long).is_err());
--- a/crates/ringbend-gateway/tests/support/mod.rs
+++ b/crates/ringbend-gateway/tests/support/mod.rs
@@ -5,8 +5,9 @@
 use std::time::Duration;
 
 use ringbend_gateway::{
-    ConfigVersion, Endpoint, EngineProfile, Limits, LoadBook, PlacementWeights, Repeat, Route,
-    RouteEntry, Snapshot, SnapshotParts, Split, TrustBook, View, Work, WorkId,
+    ConfigVersion, Endpoint, EngineProfile, FleetView, HealthTracker, Limits, LoadTracker,
+    PlacementWeights, RepeatPolicy, Route, RouteEntry, Snapshot, SnapshotParts, WeightedService,
+    Work, WorkId,
 };
 use ringbend_types::{DataCentre, ServiceName, Timestamp};
 use smallvec::{SmallVec, smallvec};
@@ -30,9 +31,9 @@
         memory_tokens: 450_000,
         steps_per_pass: 46,
         step_ms: 0.925,
-        per_writer_ms: 0.00483,
+        per_sequence_ms: 0.00483,
         per_context_k_ms: 0.00254,
-        read_per_s: 256_000.0,
+        prefill_tokens_per_s: 256_000.0,
         pairs_per_m_ms: 0.0917,
         chunk_tokens: 2_048,
         hop_ms: 0.1,
@@ -79,13 +80,13 @@
 /// What one instance before some engines knows.
 pub struct Scene {
     pub fleet: Vec<Endpoint>,
-    pub load: LoadBook,
-    pub trust: TrustBook,
+    pub load: LoadTracker,
+    pub health: HealthTracker,
     pub limits: Limits,
     pub weights: PlacementWeights,
     pub home: DataCentre,
     pub now: Timestamp,
-    pub alone: Option<u64>,
+    pub spread_seed: Option<u64>,
     pub starting: bool,
 }
 
@@ -93,13 +94,13 @@
     pub fn new(engines: usize) -> Self {
         Self {
             fleet: fleet(engines),
-            load: LoadBook::default(),
-            trust: TrustBook::default(),
+            load: LoadTracker::default(),
+            health: HealthTracker::default(),
             limits: Limits::default(),
             weights: PlacementWeights::default(),
             home: "z1".parse().unwrap(),
             now: at(0),
-            alone: None,
+            spread_seed: None,
             starting: false,
         }
     }
@@ -108,15 +109,15 @@
         self.fleet.iter().collect()
     }
 
-    pub fn view(&self) -> View<'_> {
-        View {
+    pub fn view(&self) -> FleetView<'_> {
+        FleetView {
             now: self.now,
             home: &self.home,
             load: &self.load,
-            alone: self.alone,
+            spread_seed: self.spread_seed,
             starting: self.starting,
             weights: &self.weights,
-            trust: &self.trust,
+            health: &self.health,
             tried: &[],
             is_suspect: false,
             limits: &self.limits,
@@ -128,8 +129,8 @@
 pub fn snapshot(version: u64, keys: Option<&[&str]>) -> Snapshot {
     let route = Route {
         name: "a".into(),
-        split: smallvec![Split { service: service("engines"), weight: 1 }],
-        repeat: Repeat::Idempotent,
+        split: smallvec![WeightedService { service: service("engines"), weight: 1 }],
+        repeat: RepeatPolicy::Idempotent,
         streaming: false,
         timeout: ms(2_000),
         aim: ms(300),
--- a/crates/ringbend-gateway/tests/turns.rs
+++ b/crates/ringbend-gateway/tests/turns.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use ringbend_gateway::{Claim, Demand, Turn, Waiting, Wish, Work, place_on_engines, turn};
+use ringbend_gateway::{
+    Demand, PlacementGoal, QueuedPrompt, Turn, WaitingPrompt, Work, decide_turn, place_on_engines,
+};
 use support::{Scene, at, endpoint, ms, profile, service, work, work_id};
 
 /// Long prompts that wait.
@@ -27,7 +29,7 @@
 
     /// A prompt that one engine reads for `read_ms`, and whose first event is due at `due_ms`.
     fn waits(mut self, id: u64, read_ms: u64, since_ms: u64, due_ms: u64) -> Self {
-        let waiting = Waiting {
+        let waiting = WaitingPrompt {
             service: service("engines"),
             read: ms(read_ms),
             since: at(since_ms),
@@ -44,13 +46,13 @@
         self
     }
 
-    fn turn_of(&self, id: u64, unused: Duration, prompt_tokens: u64) -> Turn {
-        let claim = Claim { id: work_id(id), unused, wish: wish(prompt_tokens) };
-        turn(self.0.view(), &profile(), &self.0.candidates(), &claim)
+    fn turn_of(&self, id: u64, passed_over_for: Duration, prompt_tokens: u64) -> Turn {
+        let claim = QueuedPrompt { id: work_id(id), passed_over_for, goal: goal(prompt_tokens) };
+        decide_turn(self.0.view(), &profile(), &self.0.candidates(), &claim)
     }
 
-    fn turn_after(&self, id: u64, unused: Duration) -> Turn {
-        self.turn_of(id, unused, 100_000)
+    fn turn_after(&self, id: u64, passed_over_for: Duration) -> Turn {
+        self.turn_of(id, passed_over_for, 100_000)
     }
 
     fn turn(&self, id: u64) -> Turn {
@@ -59,21 +61,21 @@
 
     /// The turn of a prompt of so many tokens.
     fn turn_of_tokens(mut self, prompt_tokens: u64) -> Turn {
-        let read_ms = profile().read_ms(prompt_tokens) as u64;
+        let read_ms = profile().prefill_ms(prompt_tokens) as u64;
         self = self.waits(100, read_ms, 0, 3_000);
         self.turn_of(100, Duration::ZERO, prompt_tokens)
     }
 
     fn lead(&self, prompt_tokens: u64) -> String {
         let (view, candidates) = (self.0.view(), self.0.candidates());
-        let placement = place_on_engines(view, &profile(), &candidates, &wish(prompt_tokens));
+        let placement = place_on_engines(view, &profile(), &candidates, &goal(prompt_tokens));
         placement.unwrap().lead.to_string()
     }
 }
 
-fn wish(prompt_tokens: u64) -> Wish {
+fn goal(prompt_tokens: u64) -> PlacementGoal {
     let demand = Demand { prompt_tokens, answer_tokens: 500 };
-    Wish { demand, first_in: ms(3_000), gap: ms(800) }
+    PlacementGoal { demand, first_in: ms(3_000), gap: ms(800) }
 }
 
 #[test]
@@ -85,7 +87,7 @@
 #[test]
 fn a_long_prompt_waits_while_engines_read() {
     let queue = Queue::new(6).reading(500).waits(100, 2_000, 0, 3_000);
-    let Turn::In(left) = queue.turn(100) else { panic!("{:?}", queue.turn(100)) };
+    let Turn::After(left) = queue.turn(100) else { panic!("{:?}", queue.turn(100)) };
     assert!(left > ms(400) && left <= ms(500), "{left:?}");
     assert_eq!(queue.at(700).turn(100), Turn::Now);
 }
@@ -134,7 +136,7 @@
 #[test]
 fn a_prompt_of_another_service_holds_nobody_up() {
     let mut queue = Queue::new(6).waits(101, 3_600, 100, 4_000);
-    let other = Waiting {
+    let other = WaitingPrompt {
         service: service("other"),
         read: ms(3_600),
         since: at(0),
@@ -158,7 +160,7 @@
 #[test]
 fn a_prompt_that_cannot_be_read_before_its_caller_leaves_is_given_up_at_once() {
     let queue = Queue::new(6).reading(4_000).waits(100, 12_000, 0, 3_000);
-    assert!(matches!(queue.turn(100), Turn::In(_)), "{:?}", queue.turn(100));
+    assert!(matches!(queue.turn(100), Turn::After(_)), "{:?}", queue.turn(100));
     assert_eq!(queue.at(13_500).turn(100), Turn::TooLate);
 }
 
@@ -178,7 +180,7 @@
 #[test]
 fn a_prompt_waits_while_short_ones_leave_it_too_few_engines() {
     let turn = |taken| beside_short_prompts(taken).turn_of_tokens(600_000);
-    assert_eq!([13, 12, 10].map(turn), [Turn::TooFew; 3]);
+    assert_eq!([13, 12, 10].map(turn), [Turn::TooFewEngines; 3]);
     assert_eq!(turn(2), Turn::Now);
 }
 
@@ -188,7 +190,7 @@
     for engines in [1, 3, 8, 18, 60] {
         for prompt_tokens in [100_000, 200_000, 500_000, 1_000_000] {
             let turn = Queue::new(engines).turn_of_tokens(prompt_tokens);
-            assert_ne!(turn, Turn::TooFew, "{prompt_tokens} tokens, {engines} engines");
+            assert_ne!(turn, Turn::TooFewEngines, "{prompt_tokens} tokens, {engines} engines");
         }
     }
 }
@@ -203,7 +205,7 @@
 fn a_long_prompt_waits_for_other_instances_to_be_heard() {
     let mut queue = Queue::new(6).waits(100, 2_000, 0, 3_000);
     queue.0.starting = true;
-    assert!(matches!(queue.turn(100), Turn::In(_)), "{:?}", queue.turn(100));
+    assert!(matches!(queue.turn(100), Turn::After(_)), "{:?}", queue.turn(100));
     queue.0.starting = false;
     assert_eq!(queue.turn(100), Turn::Now);
 }
--- a/crates/ringbend-relay/src/admission.rs
+++ b/crates/ringbend-relay/src/admission.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use ringbend_gateway::{BackoffState, Directory, Endpoint, Job, Placement, SendEnd};
+use ringbend_gateway::{BackoffState, Directory, Endpoint, Job, Placement, SendOutcome};
 use ringbend_types::{EndpointId, ServiceName, Timestamp};
 
 use crate::life::{Failed, Life};
@@ -101,7 +101,7 @@
     ) -> Option<(EndpointId, Inadmissible)> {
         let directory = self.directory.borrow();
         let why = |id: &EndpointId| {
-            if job.closed.contains(id) {
+            if job.backing_off.contains(id) {
                 return Some(Inadmissible::BackingOff);
             }
             directory.get(id).and_then(|endpoint| gone(&directory, endpoint))
@@ -131,10 +131,10 @@
         let Some((endpoint, why)) = rejected else { return Ok(()) };
         if on.first().is_some_and(|lead| lead.id == endpoint) {
             // The scheduler may not have received the signal yet; a tried endpoint is not chosen again.
-            self.attempts.sending(&endpoint);
+            self.attempts.record_send(&endpoint);
         }
         self.node.metrics.inadmissible();
         log::info!(target: "request", id = self.id(), endpoint:%, why:%; "endpoint takes no requests; placing again");
-        Err(Failed::Send(SendEnd::NotSent))
+        Err(Failed::Send(SendOutcome::NotSent))
     }
 }
--- a/crates/ringbend-relay/src/asking.rs
+++ b/crates/ringbend-relay/src/asking.rs
@@ -91,7 +91,10 @@
                         target: "peers", request = job.request.as_ref(), scheduler:% = scheduler;
                         "scheduler is silent"
                     );
-                    self.node.peers.borrow_mut().doubt(self.node.clock.now(), scheduler);
+                    self.node
+                        .peers
+                        .borrow_mut()
+                        .mark_unresponsive(self.node.clock.now(), scheduler);
                     return None;
                 }
             }
@@ -166,7 +169,7 @@
             part: work.part,
             held: work.held.clone(),
             cost: grant.cost,
-            harm: 0.0,
+            cost_to_others: 0.0,
             first_ms: grant.first_us as f64 / 1e3,
         };
         self.load.borrow_mut().place(now, id, work);
--- a/crates/ringbend-relay/src/callers.rs
+++ b/crates/ringbend-relay/src/callers.rs
@@ -7,7 +7,7 @@
 use actix_http::{ConnectionType, RequestHead};
 use futures_util::future::LocalBoxFuture;
 use rand::Rng;
-use ringbend_gateway::{Admitted, Arrival, Attempts, admit};
+use ringbend_gateway::{AdmissionRequest, Admitted, Attempts, admit};
 use ringbend_runtime::{Handler, HttpRequest, HttpResponse, read_body_with};
 use ringbend_types::Timestamp;
 
@@ -95,7 +95,7 @@
         let draw = self.node.rng.borrow_mut().random::<f64>();
         let service = admitted.route.pick_service(draw).ok_or(Refusal::NoService)?.clone();
         let service = admitted.snapshot.service(&service).ok_or(Refusal::NoService)?.clone();
-        self.node.budget.borrow_mut().request(self.node.clock.now(), &service.name);
+        self.node.budget.borrow_mut().record_request(self.node.clock.now(), &service.name);
         let Admitted { route, account, snapshot } = admitted;
         let attempts = Attempts::new(route.repeat, route.max_runs, deadline);
         let origin = Origin { head: req.head().clone(), body, fingerprint };
@@ -132,7 +132,8 @@
         arrived: Timestamp,
     ) -> Result<Admitted, Refusal> {
         let head = req.head();
-        let arrival = Arrival { host: host(head), path: head.uri.path(), key: call.key.as_deref() };
+        let arrival =
+            AdmissionRequest { host: host(head), path: head.uri.path(), key: call.key.as_deref() };
         let bounds = self.node.cfg.borrow().bounds.gate();
         admit(&self.node.replica.borrow(), arrived, &bounds, arrival).map_err(Refusal::Denied)
     }
--- a/crates/ringbend-relay/src/config.rs
+++ b/crates/ringbend-relay/src/config.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use error_stack::{Report, ResultExt};
-use ringbend_gateway::{BudgetBounds, GateBounds, PlacementWeights};
+use ringbend_gateway::{AdmissionBounds, PlacementWeights, RetryBudgetBounds};
 use ringbend_settings::nearest;
 use ringbend_telemetry::LogConfig;
 use ringbend_types::{DataCentre, InstanceId};
@@ -263,8 +263,8 @@
     }
 
     /// The bounds of the repeat budget.
-    pub(crate) fn budget(&self) -> BudgetBounds {
-        BudgetBounds {
+    pub(crate) fn budget(&self) -> RetryBudgetBounds {
+        RetryBudgetBounds {
             ratio: self.repeat_ratio,
             window: Duration::from_secs_f64(self.repeat_window_s),
             allowance: self.repeat_allowance,
@@ -272,10 +272,10 @@
     }
 
     /// The bounds on how old the configuration may be.
-    pub(crate) fn gate(&self) -> GateBounds {
+    pub(crate) fn gate(&self) -> AdmissionBounds {
         let revoked = millis(self.key_revoked_ms);
         let key_age = (self.key_revoked_ms > 0.0).then(|| revoked.mul_f64(KEY_AGE_SHARE));
-        GateBounds { key_age, denial_age: millis(self.config_apply_ms) }
+        AdmissionBounds { key_age, denial_age: millis(self.config_apply_ms) }
     }
 
     /// The time from a stop signal to the end of the process.
--- a/crates/ringbend-relay/src/copies.rs
+++ b/crates/ringbend-relay/src/copies.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use ringbend_gateway::{
-    Adopted, Endpoint, EndpointChange, MEMBER_READ_AGE_MS, Proof, READ_AGE_MS, Snapshot,
+    Endpoint, EndpointChange, MEMBER_READ_AGE_MS, OfferResult, Proof, READ_AGE_MS, Snapshot,
 };
 use ringbend_wire::{EndpointChanges, row_of};
 
@@ -38,7 +38,7 @@
         let snapshot = Snapshot::new(item.parts);
         let (version, routes) = (snapshot.version, snapshot.route_count());
         match node.replica.borrow_mut().offer(snapshot) {
-            Adopted::Newer { before } => {
+            OfferResult::Newer { before } => {
                 let before = before.map_or(0, |v| v.0);
                 *node.config_raw.borrow_mut() = Some(item.raw);
                 // Others may take it from here.
@@ -46,8 +46,8 @@
                 node.metrics.settings_version.set(i64::try_from(version.0).unwrap_or(i64::MAX));
                 log::info!(target: "config", version = version.0, before, routes; "in force");
             }
-            Adopted::Same => {}
-            Adopted::Older => {
+            OfferResult::Same => {}
+            OfferResult::Older => {
                 log::warn!(target: "config", version = version.0; "older than the one in force");
             }
         }
@@ -120,7 +120,7 @@
     }
 
     fn bad_row(&self, node: &Node) {
-        node.replica.borrow_mut().miss();
+        node.replica.borrow_mut().mark_unreadable();
     }
 
     fn prove(&self, node: &Node, proof: Proof, paired: bool) {
@@ -135,14 +135,14 @@
         }
     }
 
-    fn regained(&self, _: &Node) {}
+    fn store_recovered(&self, _: &Node) {}
 }
 
 /// Stops reading if the store is lost and another instance has proved the copy since: what that one
 /// reads must be heard of at once, and not once this one asks the lost store again.
 pub(crate) fn leave_reading_to_others(node: &Node) {
     let proved_at = node.replica.borrow().proved_at();
-    if node.readers.borrow_mut().leaves_to_others(node.store_lost_at.get(), proved_at) {
+    if node.readers.borrow_mut().yield_to_others(node.store_lost_at.get(), proved_at) {
         log::info!(target: "store", reads = false; "others reach the store");
         node.ceases_to_read.notify_waiters();
     }
@@ -271,7 +271,7 @@
 
     fn prove(&self, _: &Node, _: Proof, _: bool) {}
 
-    fn regained(&self, node: &Node) {
-        node.directory.borrow_mut().regained(node.clock.now());
+    fn store_recovered(&self, node: &Node) {
+        node.directory.borrow_mut().store_recovered(node.clock.now());
     }
 }
--- a/crates/ringbend-relay/src/doors.rs
+++ b/crates/ringbend-relay/src/doors.rs
@@ -4,7 +4,7 @@
 
 use actix_http::{Method, StatusCode};
 use futures_util::future::LocalBoxFuture;
-use ringbend_gateway::{HELD_AT, Suspicion};
+use ringbend_gateway::{STRIKES_TO_HOLD, Suspicion};
 use ringbend_runtime::{Handler, HttpRequest, HttpResponse, empty, json, text};
 use ringbend_types::Fingerprint;
 use serde::Serialize;
@@ -61,7 +61,7 @@
         let quarantine = self.node.quarantine.borrow();
         let line = |suspicion: &Suspicion| SuspectLine {
             fingerprint: suspicion.fingerprint.to_string(),
-            held: suspicion.ended.len() >= HELD_AT,
+            held: suspicion.ended.len() >= STRIKES_TO_HOLD,
             ended: suspicion.ended.iter().map(|process| process.endpoint.to_string()).collect(),
             tries: suspicion.tries,
         };
--- a/crates/ringbend-relay/src/ends.rs
+++ b/crates/ringbend-relay/src/ends.rs
@@ -15,7 +15,7 @@
         let now = self.clock.now();
         for endpoint in ended {
             log::info!(target: "endpoints", endpoint:%; "ended");
-            self.load.borrow_mut().lose_endpoint(now, endpoint);
+            self.load.borrow_mut().remove_endpoint(now, endpoint);
             self.trust.borrow_mut().forget(endpoint);
         }
         self.endpoint_ended.notify_waiters();
--- a/crates/ringbend-relay/src/fetch.rs
+++ b/crates/ringbend-relay/src/fetch.rs
@@ -20,7 +20,7 @@
 use futures_util::future::LocalBoxFuture;
 use rand::Rng;
 use rand::seq::IndexedRandom;
-use ringbend_gateway::{ConfigVersion, Endpoint, EndpointChange, Holds};
+use ringbend_gateway::{ConfigVersion, CopyVersions, Endpoint, EndpointChange};
 use ringbend_runtime::{Handler, HttpRequest, HttpResponse, empty};
 use ringbend_types::Timestamp;
 use ringbend_wire::{self as wire, EndpointChanges, Message, WireError, change_of, row_of};
@@ -133,7 +133,7 @@
 
 /// None while a later configuration cannot be read: its place in the history would hide that one.
 fn config_copy(node: &Node) -> Option<Bytes> {
-    if node.replica.borrow().has_missed() {
+    if node.replica.borrow().has_unreadable() {
         return None;
     }
     let row = node.config_raw.borrow().as_ref()?.to_vec();
@@ -148,11 +148,11 @@
     EndpointChanges { from_cursor: 0, to_cursor, rows: rows.collect() }.encode_to_vec().into()
 }
 
-fn has_newer_config(node: &Node, holds: Holds) -> bool {
+fn has_newer_config(node: &Node, holds: CopyVersions) -> bool {
     holds.config > node.replica.borrow().version().unwrap_or_default()
 }
 
-fn has_newer_endpoints(node: &Node, holds: Holds) -> bool {
+fn has_newer_endpoints(node: &Node, holds: CopyVersions) -> bool {
     Cursor(holds.endpoints) > node.endpoints_cursor.get()
 }
 
@@ -198,7 +198,7 @@
         && node.endpoints_cursor.get() > Cursor::default()
 }
 
-fn holders(node: &Node, wanted: impl Fn(Holds) -> bool) -> Vec<SocketAddrV4> {
+fn holders(node: &Node, wanted: impl Fn(CopyVersions) -> bool) -> Vec<SocketAddrV4> {
     node.peers.borrow().holders(node.clock.now(), wanted)
 }
 
@@ -208,7 +208,7 @@
 
 /// Waits until an instance is heard of that has what is wanted. Before this instance has looked for
 /// others it does not give up; one that does not schedule leaves it to those that do to ask the store.
-async fn wait_for_holder(node: &Node, wanted: impl Fn(Holds) -> bool) -> bool {
+async fn wait_for_holder(node: &Node, wanted: impl Fn(CopyVersions) -> bool) -> bool {
     let began = node.clock.now();
     let wait = node.rng.borrow_mut().random_range(START_WAIT_MS);
     let mut joined_at = None;
@@ -239,7 +239,7 @@
 /// Tries peers that have what is wanted until one hands it out. True once nothing is wanted.
 async fn seek(
     node: &Node,
-    wanted: impl Fn(Holds) -> bool,
+    wanted: impl Fn(CopyVersions) -> bool,
     take: impl AsyncFn(SocketAddrV4) -> Result<(), CopyError>,
 ) -> bool {
     let until: Timestamp = node.clock.now() + SEEK_TIME;
