--- a/crates/ringbend-relay/src/hearing.rs
+++ b/crates/ringbend-relay/src/hearing.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 
-use ringbend_gateway::{Heard, Part, Role, TrustEvent, WorkId};
+use ringbend_gateway::{HealthEvent, PeerObservation, PeerStatus, Role, WorkId};
 use ringbend_types::Timestamp;
 use ringbend_wire::{
     EndpointResult, LoadDigest, Message, OpenWork, OwnersWork, restart_of, result_of, role_of,
@@ -42,7 +42,7 @@
             return;
         }
         if digest.bye {
-            self.peers.borrow_mut().left(from);
+            self.peers.borrow_mut().remove(from);
             self.forget_start(start);
             log::info!(target: "peers", peer:% = from, start; "left");
             return;
@@ -54,7 +54,7 @@
         }
         if let Some(own) = digest.hello_clock_us {
             let (own, peers) = (Timestamp(own), Timestamp(digest.clock_us));
-            self.readers.borrow_mut().pair(start, own, peers);
+            self.readers.borrow_mut().pair_clocks(start, own, peers);
         }
         self.note_suspicions(digest, role_of(digest) == Role::Scheduler);
         self.note_limits(digest, role_of(digest) == Role::Scheduler);
@@ -76,23 +76,23 @@
     /// Notes that the sender is there, and what part it has.
     fn note_sender(self: &Rc<Self>, now: Timestamp, from: SocketAddrV4, digest: &LoadDigest) {
         let start = digest.incarnation;
-        let heard = self.peers.borrow_mut().heard(now, from, start);
+        let heard = self.peers.borrow_mut().record_digest(now, from, start);
         if let Ok(data_centre) = digest.data_centre.parse() {
             self.peers.borrow_mut().describe(from, data_centre, digest.capacity);
         }
-        let part = Part {
+        let part = PeerStatus {
             role: role_of(digest),
             instances: digest.instances as usize,
             fleet: digest.fleet as usize,
         };
-        self.peers.borrow_mut().takes_part(from, part);
+        self.peers.borrow_mut().set_status(from, part);
         if digest.call_up && !self.schedules() {
             log::info!(target: "peers", peer:% = from; "asked to schedule");
-            self.peers.borrow_mut().called_up();
+            self.peers.borrow_mut().become_scheduler();
             self.begin_to_schedule();
         }
         self.review_role();
-        if let Heard::New { replaced } = heard {
+        if let PeerObservation::New { replaced } = heard {
             log::info!(target: "peers", peer:% = from, start, role:? = part.role; "heard");
             if let Some(replaced) = replaced {
                 self.forget_start(replaced);
@@ -105,7 +105,7 @@
     /// Looks whether this instance should schedule.
     pub(crate) fn review_role(self: &Rc<Self>) {
         let now = self.clock.now();
-        if !self.peers.borrow_mut().review(now) {
+        if !self.peers.borrow_mut().update_role(now) {
             return;
         }
         if self.schedules() { self.begin_to_schedule() } else { self.cease_to_schedule() }
@@ -114,7 +114,7 @@
     /// Asks the other schedulers for what runs where, and tells them of the own requests.
     pub(crate) fn begin_to_schedule(&self) {
         log::info!(target: "peers", schedules = true; "role");
-        let fellows = self.peers.borrow().likely_fellows(self.clock.now());
+        let fellows = self.peers.borrow().likely_other_schedulers(self.clock.now());
         fellows.into_iter().for_each(|fellow| self.say_hello(fellow));
         self.greet_elsewhere();
         self.outbox.borrow_mut().placed.extend(self.own_work());
@@ -132,7 +132,7 @@
         // Those that this instance scheduled for find the others by this.
         let now = self.clock.now();
         let peers = self.peers.borrow();
-        let named = peers.home_schedulers(now).iter().map(SocketAddrV4::to_string).collect();
+        let named = peers.local_schedulers(now).iter().map(SocketAddrV4::to_string).collect();
         let digest = LoadDigest { peers: named, ..self.digest() };
         self.tell_all(&digest, peers.members(now));
         self.signals.now.notify_one();
@@ -144,7 +144,7 @@
         self.grants.borrow_mut().forget(start);
         self.readers.borrow_mut().forget(start);
         if had_work && self.schedules() {
-            self.outbox.borrow_mut().gone.push(start);
+            self.outbox.borrow_mut().ended_instances.push(start);
             self.signals.soon.notify_one();
         }
     }
@@ -175,7 +175,8 @@
     /// The addresses of the schedulers but for one: of all data centres, or of this one.
     fn schedulers_besides(&self, one: SocketAddrV4, of_all: bool) -> Vec<String> {
         let (now, peers) = (self.clock.now(), self.peers.borrow());
-        let named = if of_all { peers.fellows(now) } else { peers.home_schedulers(now).to_vec() };
+        let named =
+            if of_all { peers.other_schedulers(now) } else { peers.local_schedulers(now).to_vec() };
         named.into_iter().filter(|a| *a != one).map(|a| a.to_string()).collect()
     }
 
@@ -194,7 +195,7 @@
     fn note_unfit(&self, now: Timestamp, unfit: &[String]) {
         for id in unfit {
             match id.parse() {
-                Ok(id) => self.trust.borrow_mut().note(now, &id, TrustEvent::Bad),
+                Ok(id) => self.trust.borrow_mut().note(now, &id, HealthEvent::Bad),
                 Err(e) => log::warn!(target: "peers", id, error:% = e; "no endpoint's id"),
             }
         }
@@ -245,7 +246,7 @@
     /// of its owner as well, and the first one stays the one that does while it is there.
     fn note_teller(&self, now: Timestamp, owner: u64, from: SocketAddrV4) {
         let before = self.grants.borrow().teller(owner);
-        if before.is_none_or(|before| !self.peers.borrow().is_there(now, before)) {
+        if before.is_none_or(|before| !self.peers.borrow().is_alive(now, before)) {
             self.grants.borrow_mut().told_by(owner, from);
         }
     }
@@ -268,7 +269,7 @@
         }
         for placed in &owners.placed {
             match work_of(now, placed) {
-                Ok(work) => load.place_told(now, id(placed.sequence), work, placed.writing),
+                Ok(work) => load.merge_placed(now, id(placed.sequence), work, placed.writing),
                 Err(e) => log::warn!(target: "peers", instance, error:% = e; "work refused"),
             }
             if tells_on {
--- a/crates/ringbend-relay/src/joining.rs
+++ b/crates/ringbend-relay/src/joining.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::Rng;
-use ringbend_gateway::{Role, SCHEDULERS, Standing};
+use ringbend_gateway::{InstanceRank, Role, SCHEDULERS_PER_DATA_CENTRE};
 use ringbend_types::DataCentre;
 
 use crate::SourceError;
@@ -33,7 +33,7 @@
 /// How many instances of the own data centre are greeted at first. One that schedules is enough, as
 /// it names the others; rows of instances that are gone may stand before it. Each further greeting
 /// goes to twice as many.
-const FIRST_GREETED: usize = 2 * SCHEDULERS;
+const FIRST_GREETED: usize = 2 * SCHEDULERS_PER_DATA_CENTRE;
 
 /// How often they are greeted: after so many rounds hundreds were, or none is there.
 const GREETING_ROUNDS: usize = 6;
@@ -73,7 +73,7 @@
             Err(e) => {
                 log::info!(target: "peers", error:% = e; "presence not written, trying again");
                 tokio::select! {
-                    () = tokio::time::sleep(PRESENCE_RETRY.mul_f64(node.asking_factor())) => {}
+                    () = tokio::time::sleep(PRESENCE_RETRY.mul_f64(node.fleet_backoff_factor())) => {}
                     () = node.store_regained.notified() => {}
                 }
             }
@@ -92,7 +92,7 @@
 /// Whether an instance of this data centre is heard. One of another that was asked while it started does not name
 /// those here, and tells this one nothing more.
 fn hears_home(node: &Node) -> bool {
-    node.peers.borrow().instances_at_home(node.clock.now()) > 1
+    node.peers.borrow().local_instances(node.clock.now()) > 1
 }
 
 /// Only those that schedule need a row: whoever starts asks the best placed that have one, and hears
@@ -143,7 +143,7 @@
         node.peers.borrow().is_needed_beside(standings.map(standing))
     };
     if is_needed && node.peers.borrow().role() == Role::Starting {
-        node.peers.borrow_mut().called_up();
+        node.peers.borrow_mut().become_scheduler();
         node.begin_to_schedule();
     }
 }
@@ -176,20 +176,20 @@
 }
 
 fn is_unheard(node: &Node) -> bool {
-    node.peers.borrow().home_schedulers(node.clock.now()).is_empty()
+    node.peers.borrow().local_schedulers(node.clock.now()).is_empty()
 }
 
 fn is_at(row: &Present, home: &DataCentre) -> bool {
     row.data_centre.as_ref().is_none_or(|centre| centre == home)
 }
 
-fn standing(row: &Present) -> Standing {
-    Standing::new(row.capacity, row.address)
+fn standing(row: &Present) -> InstanceRank {
+    InstanceRank::new(row.capacity, row.address)
 }
 
 /// The best placed first.
 fn best<'a>(rows: impl Iterator<Item = &'a Present>) -> Vec<SocketAddrV4> {
-    let mut all: Vec<Standing> = rows.map(standing).collect();
+    let mut all: Vec<InstanceRank> = rows.map(standing).collect();
     all.sort();
     all.into_iter().map(|standing| standing.address()).collect()
 }
@@ -212,7 +212,7 @@
     centres.dedup();
     let of_centre = |centre: &DataCentre| {
         let there = rows.iter().filter(|row| row.data_centre.as_ref() == Some(centre));
-        best(there).into_iter().take(SCHEDULERS).collect::<Vec<_>>()
+        best(there).into_iter().take(SCHEDULERS_PER_DATA_CENTRE).collect::<Vec<_>>()
     };
     centres.into_iter().filter(|centre| *centre != home).flat_map(of_centre).collect()
 }
--- a/crates/ringbend-relay/src/keeping.rs
+++ b/crates/ringbend-relay/src/keeping.rs
@@ -58,7 +58,7 @@
             }
             Err(e) => {
                 log::info!(target: "suspects", error:% = e; "suspects not read");
-                tokio::time::sleep(PAUSE.mul_f64(node.asking_factor())).await;
+                tokio::time::sleep(PAUSE.mul_f64(node.fleet_backoff_factor())).await;
             }
         }
     }
@@ -91,7 +91,7 @@
     fn take_kept(&self, row: &KeptRow) {
         let now = self.clock.now();
         if let Some((of, number)) = claim_of(&row.key) {
-            self.quarantine.borrow_mut().tried(now, of, number);
+            self.quarantine.borrow_mut().record_try(now, of, number);
             return;
         }
         match kept(&row.value) {
@@ -109,7 +109,7 @@
         let node = self.clone();
         tokio::task::spawn_local(async move {
             for _ in 0..MOST_WRITES {
-                let known = node.quarantine.borrow().of(of).filter(|s| s.is_grave()).cloned();
+                let known = node.quarantine.borrow().get(of).filter(|s| s.is_severe()).cloned();
                 let Some(known) = known else { return };
                 let value = told_suspicion(&known).encode_to_vec().into();
                 let row = KeptRow { key: of.to_string().into(), value };
@@ -119,7 +119,7 @@
                         log::info!(target: "suspects", fingerprint:% = of, error:% = e; "not kept")
                     }
                 }
-                tokio::time::sleep(PAUSE.mul_f64(node.asking_factor())).await;
+                tokio::time::sleep(PAUSE.mul_f64(node.fleet_backoff_factor())).await;
             }
         });
     }
@@ -150,7 +150,7 @@
         let due = self.quarantine.borrow().try_due(self.clock.now(), of);
         let Some(number) = due else { return false };
         // Whatever comes of the call, this instance does not ask for the same try again.
-        self.quarantine.borrow_mut().tried(self.clock.now(), of, number);
+        self.quarantine.borrow_mut().record_try(self.clock.now(), of, number);
         let row = KeptRow { key: claim_key(of, number), value: Bytes::new() };
         let claimed = bounded(self.keeper.claim(&row)).await;
         log::info!(target: "suspects", fingerprint:% = of, number, claimed:?; "try");
--- a/crates/ringbend-relay/src/life.rs
+++ b/crates/ringbend-relay/src/life.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use rand::Rng;
 use ringbend_gateway::{
-    Account, Attempts, ConfigVersion, Next, Route, SendEnd, Service, TrustEvent,
+    Account, Attempts, ConfigVersion, HealthEvent, NextStep, Route, SendOutcome, Service,
 };
 use ringbend_runtime::HttpResponse;
 use ringbend_types::{EndpointId, Fingerprint, PromptBucket, RunState, Timestamp, TokenCount};
@@ -164,15 +164,15 @@
             }
             Failed::Stopping => Some(self.unsent(Refusal::Stopping)),
             Failed::Cut => {
-                self.attempts.broken_off();
+                self.attempts.record_aborted();
                 Some(Refusal::of_state(self.attempts.run_state()))
             }
             Failed::NoArbiter => Some(self.unsent(Refusal::Suspected)),
             Failed::NoMemory | Failed::NoEndpoint => Some(self.unsent(Refusal::NoEndpoint)),
             Failed::Send(end) => match self.next(end) {
-                Next::SendAgain => None,
-                Next::PassOn => Some(Refusal::MayHaveRun),
-                Next::GiveUp(state) => {
+                NextStep::Retry => None,
+                NextStep::ForwardFailure => Some(Refusal::MayHaveRun),
+                NextStep::GiveUp(state) => {
                     let after = self.node.all_backing_off(&self.terms.service.name);
                     self.hint = after.map(|after| self.spread(after)).or(self.hint);
                     Some(self.late().unwrap_or(Refusal::of_state(state)))
@@ -216,10 +216,10 @@
     }
 
     /// Decides what follows a send that ended badly.
-    pub(crate) fn next(&mut self, end: SendEnd) -> Next {
+    pub(crate) fn next(&mut self, end: SendOutcome) -> NextStep {
         let now = self.node.clock.now();
         let budget = &mut self.node.budget.borrow_mut();
-        self.attempts.ended(now, end, &self.terms.service.name, budget)
+        self.attempts.record_outcome(now, end, &self.terms.service.name, budget)
     }
 
     fn late(&self) -> Option<Refusal> {
@@ -293,7 +293,7 @@
         self.check(&run.endpoint, &facts, head.status)?;
         match rest {
             Rest::Events(events, first) => {
-                self.trust(&run.endpoint.id, TrustEvent::Good);
+                self.trust(&run.endpoint.id, HealthEvent::Good);
                 Ok(Reply::Stream(Box::new(run.into_stream(head, events, first))))
             }
             Rest::Body(answer) => self.whole(&run, head, answer).await,
@@ -316,9 +316,9 @@
         let may_be_better = status.is_server_error() && self.terms.route.repeat.may_repeat();
         if may_be_better {
             self.failed = Some(res);
-            return Err(Failed::Send(SendEnd::FailedAnswer));
+            return Err(Failed::Send(SendOutcome::FailedAnswer));
         }
-        self.trust(&run.endpoint.id, TrustEvent::Good);
+        self.trust(&run.endpoint.id, HealthEvent::Good);
         self.node.clear_suspect(self.origin.fingerprint);
         Ok(Reply::Whole(res, status))
     }
@@ -355,5 +355,5 @@
     /// The instance has stopped, and the send is broken off.
     Cut,
     /// It ended like this.
-    Send(SendEnd),
+    Send(SendOutcome),
 }
--- a/crates/ringbend-relay/src/limits.rs
+++ b/crates/ringbend-relay/src/limits.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ringbend_gateway::{Endpoint, HeardLimit, LimitWord, NamedLimit, WordIn};
+use ringbend_gateway::{Endpoint, KnownLimit, LimitSignal, LimitSource, LimitUpdate};
 use ringbend_types::{EndpointId, RequestRate, Timestamp};
 use ringbend_wire::{EndpointLimit, LoadDigest, limit_of, told_limit};
 
@@ -21,14 +21,14 @@
         &self,
         endpoint: &Endpoint,
         asked: Timestamp,
-        word: LimitWord,
-        from: WordIn,
+        word: LimitSignal,
+        from: LimitSource,
     ) {
-        let heard = self.limits.borrow_mut().hear(self.clock.now(), endpoint, asked, word, from);
+        let heard = self.limits.borrow_mut().observe(self.clock.now(), endpoint, asked, word, from);
         match heard {
-            HeardLimit::Known => {}
-            HeardLimit::Changed => self.changed_limit(&endpoint.id, "its answer", true),
-            HeardLimit::Bad(why) => {
+            LimitUpdate::Unchanged => {}
+            LimitUpdate::Changed => self.changed_limit(&endpoint.id, "its answer", true),
+            LimitUpdate::Malformed(why) => {
                 log::warn!(target: "limits", endpoint:% = endpoint.id, why:%; "limit not read");
             }
         }
@@ -48,7 +48,7 @@
         self.metrics.limited_endpoints.set(limited as i64);
         self.metrics.set_endpoint_limit(endpoint.as_str(), rate.map(RequestRate::as_f64));
         let mut outbox = self.outbox.borrow_mut();
-        outbox.limits_at_home.push(endpoint.clone());
+        outbox.local_limits.push(endpoint.clone());
         if for_all {
             outbox.limits.push(endpoint.clone());
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    fn note_limit(&self, now: Timestamp, told: &NamedLimit, from_scheduler: bool) {
+    fn note_limit(&self, now: Timestamp, told: &KnownLimit, from_scheduler: bool) {
         let has_changed = self.limits.borrow_mut().merge(now, told);
         if has_changed {
             self.changed_limit(&told.endpoint, "another instance", !from_scheduler);
@@ -94,20 +94,20 @@
     /// Forgets limits of endpoints that are gone, and has those asked that hardly get a request that could tell
     /// when the limit ends.
     pub(crate) fn sweep_limits(self: &Rc<Self>, now: Timestamp) {
-        if self.limits.borrow().is_unknown() {
+        if self.limits.borrow().has_no_records() {
             return;
         }
         let directory = self.directory.borrow();
         self.limits.borrow_mut().sweep(now, |id| directory.get(id).is_none());
         let limits = self.limits.borrow();
-        self.places.borrow_mut().keep(|id| limits.known(id).is_some_and(|l| l.rate.is_some()));
+        self.places.borrow_mut().retain(|id| limits.known(id).is_some_and(|l| l.rate.is_some()));
         let seldom = limits.all().filter(|known| known.rate.is_some_and(is_seldom));
         let engines = seldom.filter(|known| self.is_engine(directory.get(&known.endpoint)));
         let asked: Vec<EndpointId> = engines.map(|known| known.endpoint.clone()).collect();
         drop((limits, directory));
         self.count_places();
         if self.schedules() {
-            let own = |id: &EndpointId| self.peers.borrow().asker(now, id).is_none();
+            let own = |id: &EndpointId| self.peers.borrow().probing_scheduler(now, id).is_none();
             self.look_into(asked.into_iter().filter(own).collect::<Vec<_>>());
         }
     }
--- a/crates/ringbend-relay/src/link.rs
+++ b/crates/ringbend-relay/src/link.rs
@@ -55,7 +55,7 @@
             clock_us: now.0,
             currency: currency(self),
             role: told_role(peers.role()),
-            instances: count(peers.instances_at_home(now)),
+            instances: count(peers.local_instances(now)),
             fleet: count(peers.instances(now)),
             ..LoadDigest::default()
         }
@@ -74,7 +74,7 @@
         let own = self.peers_address();
         let others = addresses.iter().copied().filter(|address| Some(*address) != own);
         for address in others {
-            if self.peers.borrow_mut().greets(now, address) {
+            if self.peers.borrow_mut().begin_greeting(now, address) {
                 self.say_hello(address);
             }
         }
--- a/crates/ringbend-relay/src/memory.rs
+++ b/crates/ringbend-relay/src/memory.rs
@@ -6,7 +6,9 @@
 
 use actix_http::{Method, RequestHead, Uri};
 use futures_util::future::join_all;
-use ringbend_gateway::{HOLD, OrderAnswer, RENEW, Ticket, TicketId, WordIn};
+use ringbend_gateway::{
+    LimitSource, RESERVATION_RENEWAL, RESERVATION_TTL, Reservation, ReservationId, ReservationReply,
+};
 use ringbend_types::Timestamp;
 use tokio::task::JoinHandle;
 
@@ -28,7 +30,7 @@
 /// A ticket and where its engine listens.
 #[derive(Debug, Clone)]
 pub(crate) struct Place {
-    pub(crate) ticket: Ticket,
+    pub(crate) ticket: Reservation,
     pub(crate) address: SocketAddrV4,
 }
 
@@ -43,19 +45,21 @@
 
 impl HeldMemory {
     /// Holds all of `places`, or none. Tells which engine had no room.
-    pub(crate) async fn hold(node: Rc<Node>, places: Vec<Place>) -> Result<Self, Ticket> {
+    pub(crate) async fn hold(node: Rc<Node>, places: Vec<Place>) -> Result<Self, Reservation> {
         let places = Rc::new(places);
         // Made first, so that what was held is released however this ends.
         let renewing = tokio::task::spawn_local(renew(node.clone(), places.clone()));
         let unused_until = node.clock.now() + UNUSED_TIME;
         let held = Self { node, places, renewing, unused_until };
-        let orders = held
+        let orders = held.places.iter().map(|place| {
+            order(&held.node, place.address, MemoryOrder::Hold(&place.ticket, RESERVATION_TTL))
+        });
+        let answers = join_all(orders).await;
+        let refused = held
             .places
             .iter()
-            .map(|place| order(&held.node, place.address, MemoryOrder::Hold(&place.ticket, HOLD)));
-        let answers = join_all(orders).await;
-        let refused =
-            held.places.iter().zip(answers).find(|(_, answer)| *answer != Some(OrderAnswer::Done));
+            .zip(answers)
+            .find(|(_, answer)| *answer != Some(ReservationReply::Done));
         match refused {
             Some((place, _)) => Err(place.ticket.clone()),
             None => Ok(held),
@@ -63,7 +67,7 @@
     }
 
     /// The ticket on the engine at `address`.
-    pub(crate) fn ticket_at(&self, address: SocketAddrV4) -> Option<TicketId> {
+    pub(crate) fn ticket_at(&self, address: SocketAddrV4) -> Option<ReservationId> {
         let place = self.places.iter().find(|place| place.address == address)?;
         Some(place.ticket.id)
     }
@@ -84,10 +88,10 @@
 
 async fn renew(node: Rc<Node>, places: Rc<Vec<Place>>) {
     loop {
-        tokio::time::sleep(RENEW).await;
-        let orders = places
-            .iter()
-            .map(|place| order(&node, place.address, MemoryOrder::Hold(&place.ticket, HOLD)));
+        tokio::time::sleep(RESERVATION_RENEWAL).await;
+        let orders = places.iter().map(|place| {
+            order(&node, place.address, MemoryOrder::Hold(&place.ticket, RESERVATION_TTL))
+        });
         join_all(orders).await;
     }
 }
@@ -97,7 +101,7 @@
     node: &Rc<Node>,
     address: SocketAddrV4,
     order: MemoryOrder<'_>,
-) -> Option<OrderAnswer> {
+) -> Option<ReservationReply> {
     let (word, ticket) = match &order {
         MemoryOrder::Hold(ticket, _) => ("hold", *ticket),
         MemoryOrder::Release(ticket) => ("release", *ticket),
@@ -121,7 +125,7 @@
     node: &Rc<Node>,
     address: SocketAddrV4,
     order: &MemoryOrder<'_>,
-) -> Result<OrderAnswer, ExchangeError> {
+) -> Result<ReservationReply, ExchangeError> {
     let call = node.dialect.order(order);
     let (MemoryOrder::Hold(ticket, _) | MemoryOrder::Release(ticket)) = order;
     let endpoint = ticket.endpoint.clone();
@@ -136,7 +140,7 @@
     let status = answer.head.status;
     let facts = node.dialect.answer(status, &answer.head.headers);
     if let Some(known) = known.filter(|_| !facts.is_foreign) {
-        node.apply_signals(&known, asked, &facts.signals, WordIn::Order);
+        node.apply_signals(&known, asked, &facts.signals, LimitSource::Reservation);
     }
     let body = answer.whole(MAX_ANSWER_BYTES).await?;
     if let Some(start) = node.dialect.order_start(&body) {
--- a/crates/ringbend-relay/src/node.rs
+++ b/crates/ringbend-relay/src/node.rs
@@ -11,8 +11,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use ringbend_gateway::{
-    Backoffs, Directory, Limits, LoadBook, Outbox, PaceAsks, Peers, Places, Quarantine, Readers,
-    RepeatBudget, Replica, Standing, TrustBook, WorkId, asking_factor,
+    Backoffs, Directory, HealthTracker, InstanceRank, Limits, LoadTracker, Outbox, PaceQueries,
+    Peers, Permits, Quarantine, Replica, RetryBudget, StoreReaders, WorkId, fleet_backoff_factor,
 };
 use ringbend_runtime::Clock;
 use ringbend_telemetry::Metrics;
@@ -44,8 +44,8 @@
     pub(crate) handing: Cell<usize>,
     pub(crate) replica: RefCell<Replica>,
     pub(crate) directory: RefCell<Directory>,
-    pub(crate) load: RefCell<LoadBook>,
-    pub(crate) trust: RefCell<TrustBook>,
+    pub(crate) load: RefCell<LoadTracker>,
+    pub(crate) trust: RefCell<HealthTracker>,
     /// What endpoints take, by their own word.
     pub(crate) limits: RefCell<Limits>,
     /// What endpoints asked this instance not to send for a while.
@@ -53,8 +53,8 @@
     /// What of endpoints' signals was logged.
     pub(crate) logged_signals: RefCell<LoggedSignals>,
     /// The places that such endpoints have left, where this instance counts them.
-    pub(crate) places: RefCell<Places>,
-    pub(crate) budget: RefCell<RepeatBudget>,
+    pub(crate) places: RefCell<Permits>,
+    pub(crate) budget: RefCell<RetryBudget>,
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) peers: RefCell<Peers>,
     /// Where instances listened when their rows were last read.
@@ -65,7 +65,7 @@
     /// Carries digests to other instances; none where load is not shared.
     pub(crate) link: OnceCell<Link>,
     /// Which engines were asked for their pace.
-    pub(crate) pace_asks: RefCell<PaceAsks>,
+    pub(crate) pace_asks: RefCell<PaceQueries>,
     /// What schedulers were asked and have not answered.
     pub(crate) asks: RefCell<Asks>,
     /// What this instance was asked as a scheduler.
@@ -81,7 +81,7 @@
     /// Told when this instance has read the configuration's table.
     pub(crate) store_read: Notify,
     /// Who reads the watched tables.
-    pub(crate) readers: RefCell<Readers>,
+    pub(crate) readers: RefCell<StoreReaders>,
     /// Told when this instance begins to read.
     pub(crate) begins_to_read: Notify,
     /// Told when this instance leaves reading to others.
@@ -136,9 +136,9 @@
         keeper: Rc<dyn Keeper>,
     ) -> Rc<Self> {
         let incarnation = rand::random();
-        let budget = RepeatBudget::new(cfg.bounds.budget());
+        let budget = RetryBudget::new(cfg.bounds.budget());
         let unknown = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
-        let own = Standing::new(cfg.capacity(), cfg.listen.peers.unwrap_or(unknown));
+        let own = InstanceRank::new(cfg.capacity(), cfg.listen.peers.unwrap_or(unknown));
         let peers = Peers::new(clock.now(), cfg.data_centre.clone(), own);
         Rc::new(Self {
             cfg: RefCell::new(cfg),
@@ -171,7 +171,7 @@
             store_lost_at: Cell::new(None),
             store_regained: Notify::new(),
             store_read: Notify::new(),
-            readers: RefCell::new(Readers::new(incarnation)),
+            readers: RefCell::new(StoreReaders::new(incarnation)),
             begins_to_read: Notify::new(),
             ceases_to_read: Notify::new(),
             joined: Cell::new(false),
@@ -223,8 +223,8 @@
 
     /// How much longer than alone an instance waits between calls to a lost store: one that reaches it
     /// again tells all others.
-    pub(crate) fn asking_factor(&self) -> f64 {
-        asking_factor(self.peers.borrow().instances(self.clock.now()))
+    pub(crate) fn fleet_backoff_factor(&self) -> f64 {
+        fleet_backoff_factor(self.peers.borrow().instances(self.clock.now()))
     }
 
     /// A name for new work.
--- a/crates/ringbend-relay/src/pacing.rs
+++ b/crates/ringbend-relay/src/pacing.rs
@@ -10,7 +10,7 @@
 
 use actix_http::{Method, RequestHead, Uri};
 use bytes::Bytes;
-use ringbend_gateway::{ASK_LIMITED_AGAIN, Endpoint, Pace, TrustEvent, WordIn};
+use ringbend_gateway::{Endpoint, HealthEvent, LIMITED_QUERY_INTERVAL, LimitSource, Pace};
 use ringbend_types::{EndpointId, Timestamp};
 use ringbend_wire::{EnginePace, LoadDigest, pace_of};
 use smallvec::SmallVec;
@@ -88,7 +88,7 @@
 impl Node {
     /// Notes that an engine was slower than expected.
     pub(crate) fn suspect(&self, engine: &EndpointId) {
-        self.outbox.borrow_mut().suspects.push(engine.clone());
+        self.outbox.borrow_mut().slow_engines.push(engine.clone());
         self.signals.soon.notify_one();
     }
 
@@ -100,7 +100,7 @@
             if !self.may_be_asked(now, &engine) {
                 continue;
             }
-            match self.peers.borrow().asker(now, &engine) {
+            match self.peers.borrow().probing_scheduler(now, &engine) {
                 Some(other) => others.push((other, engine)),
                 None => drop(tokio::task::spawn_local(self.clone().ask_pace(engine))),
             }
@@ -120,7 +120,8 @@
                 return;
             }
             let is_limited = self.is_limited(&engine);
-            tokio::time::sleep(if is_limited { ASK_LIMITED_AGAIN } else { ASK_SLOW_AGAIN }).await;
+            tokio::time::sleep(if is_limited { LIMITED_QUERY_INTERVAL } else { ASK_SLOW_AGAIN })
+                .await;
             // Others that suspect it meanwhile need not have it asked.
             self.may_be_asked(self.clock.now(), &engine);
         }
@@ -137,7 +138,7 @@
             failed => {
                 let why = failed.and_then(Result::err).map_or("silent".into(), |e| e.to_string());
                 log::info!(target: "endpoints", endpoint:% = engine, why; "does not say how it is");
-                self.trust.borrow_mut().note(self.clock.now(), engine, TrustEvent::Bad);
+                self.trust.borrow_mut().note(self.clock.now(), engine, HealthEvent::Bad);
                 self.outbox.borrow_mut().unfit.push(engine.clone());
                 self.signals.soon.notify_one();
                 return None;
@@ -211,7 +212,7 @@
         let status = answer.head.status;
         let facts = self.dialect.answer(status, &answer.head.headers);
         if !facts.is_foreign {
-            self.apply_signals(&endpoint, asked, &facts.signals, WordIn::Report);
+            self.apply_signals(&endpoint, asked, &facts.signals, LimitSource::Report);
         }
         let body = answer.whole(MAX_REPORT_BYTES).await?;
         Ok(self.dialect.report_answer(status, &body))
--- a/crates/ringbend-relay/src/places.rs
+++ b/crates/ringbend-relay/src/places.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ringbend_gateway::{Arbiter, Endpoint, EngineProfile, InLine, Job, Peers, Placement, WorkId};
+use ringbend_gateway::{
+    Arbiter, Endpoint, EngineProfile, Job, Peers, PermitWaiter, Placement, WorkId,
+};
 use ringbend_types::{EndpointId, RequestRate, ServiceName, Timestamp};
 use smallvec::SmallVec;
 
@@ -35,13 +37,13 @@
 struct Waiting {
     node: Rc<Node>,
     service: ServiceName,
-    place: InLine,
+    place: PermitWaiter,
 }
 
 impl Waiting {
     fn new(node: Rc<Node>, id: WorkId, job: &Job) -> Self {
-        let (service, place) = (job.service.clone(), InLine::new(node.clock.now(), id, job));
-        node.places.borrow_mut().wait(&service, place);
+        let (service, place) = (job.service.clone(), PermitWaiter::new(node.clock.now(), id, job));
+        node.places.borrow_mut().enqueue(&service, place);
         Self { node, service, place }
     }
 
@@ -53,7 +55,7 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.node.places.borrow_mut().leave(&self.service, self.place);
+        self.node.places.borrow_mut().dequeue(&self.service, self.place);
     }
 }
 
@@ -73,9 +75,9 @@
 
     /// Whether this instance counts for all what limited endpoints of a service get.
     fn counts(&self, service: &ServiceName) -> bool {
-        let counter = self.peers.borrow().counter(self.clock.now(), service);
-        let counts = counter == Some(Arbiter::Own);
-        if self.places.borrow_mut().count(service, counts) {
+        let counter = self.peers.borrow().limit_coordinator(self.clock.now(), service);
+        let counts = counter == Some(Arbiter::Local);
+        if self.places.borrow_mut().set_coordinating(service, counts) {
             log::info!(target: "limits", service:%, counts; "counts places");
         }
         counts
@@ -85,7 +87,7 @@
     pub(crate) fn limited(&self, service: &ServiceName) -> Closed {
         let (directory, limits) = (self.directory.borrow(), self.limits.borrow());
         let all = directory.of_service(self.clock.now(), service);
-        all.filter(|e| limits.of(e).is_some()).map(|e| e.id.clone()).collect()
+        all.filter(|e| limits.rate(e).is_some()).map(|e| e.id.clone()).collect()
     }
 
     /// The endpoints that a request may not take a place of now: they have none left, or others go first. Where
@@ -108,13 +110,13 @@
         service: &ServiceName,
     ) -> SmallVec<[(EndpointId, bool); 4]> {
         let counts = self.counts(service);
-        let share = if counts { self.peers.borrow().heard_share(now) } else { 1.0 };
+        let share = if counts { self.peers.borrow().reachable_share(now) } else { 1.0 };
         let (directory, limits) = (self.directory.borrow(), self.limits.borrow());
         let mut places = self.places.borrow_mut();
         let limited = |endpoint: &Endpoint| {
-            let rate = limits.of(endpoint)?.as_f64() * share;
+            let rate = limits.rate(endpoint)?.as_f64() * share;
             let tells = limits.is_in_reports(&endpoint.id);
-            Some((endpoint.id.clone(), places.has_place(now, endpoint, rate, tells)))
+            Some((endpoint.id.clone(), places.has_permit(now, endpoint, rate, tells)))
         };
         directory.of_service(now, service).filter_map(limited).collect()
     }
@@ -127,7 +129,7 @@
     pub(crate) fn take_place(&self, job: &Job, placement: &Placement) -> Result<(), Unplaced> {
         let directory = self.directory.borrow();
         let lead = directory.get(&placement.lead);
-        if lead.is_none_or(|lead| self.limits.borrow().of(lead).is_none()) {
+        if lead.is_none_or(|lead| self.limits.borrow().rate(lead).is_none()) {
             return Ok(());
         }
         self.places.borrow_mut().take(self.clock.now(), &placement.lead);
@@ -156,7 +158,7 @@
                 return Err(Denied::NotHere);
             }
             let counter = |peers: &Peers, now, asked: &[_]| {
-                let counter = peers.counter(now, &job.service).and_then(Arbiter::address);
+                let counter = peers.limit_coordinator(now, &job.service).and_then(Arbiter::address);
                 counter.filter(|address| !asked.contains(address))
             };
             if let Some(answer) = self.ask(id, job, counter).await {
@@ -211,8 +213,8 @@
     fn until_place(&self, job: &Job, needed: usize, due: Timestamp) -> Result<Duration, Denied> {
         let now = self.clock.now();
         let limited = self.limited(&job.service);
-        let usable = limited.iter().filter(|id| !job.closed.contains(id));
-        let wait = self.places.borrow().until(now, usable, needed);
+        let usable = limited.iter().filter(|id| !job.backing_off.contains(id));
+        let wait = self.places.borrow().time_until(now, usable, needed);
         match wait {
             Some(wait) if now + wait <= due => Ok(wait),
             _ => Err(Denied::Limited(self.come_back(job, needed, wait))),
@@ -239,7 +241,7 @@
         let rate = self.rate_of(&job.service);
         let within = job.deadline.since(now);
         let mut places = self.places.borrow_mut();
-        let after = places.come_back(now, &job.service, wait, rate, within);
+        let after = places.retry_after(now, &job.service, wait, rate, within);
         let after_ms = after.as_millis() as u64;
         log::info!(
             target: "request", id = job.request.as_ref(), service:% = job.service, rate, needed, after_ms;
@@ -252,6 +254,6 @@
     fn rate_of(&self, service: &ServiceName) -> f64 {
         let (directory, limits) = (self.directory.borrow(), self.limits.borrow());
         let all = directory.of_service(self.clock.now(), service);
-        all.filter_map(|e| limits.of(e)).map(RequestRate::as_f64).sum()
+        all.filter_map(|e| limits.rate(e)).map(RequestRate::as_f64).sum()
     }
 }
--- a/crates/ringbend-relay/src/placing.rs
+++ b/crates/ringbend-relay/src/placing.rs
@@ -6,7 +6,7 @@
 
 use rand::Rng;
 use ringbend_gateway::{
-    Endpoint, EndpointLoad, EngineProfile, Job, Peers, Placement, View, WorkId, is_long,
+    Endpoint, EndpointLoad, EngineProfile, FleetView, Job, Peers, Placement, WorkId, is_long,
     place_on_engines, place_on_service,
 };
 use ringbend_types::{EndpointId, Timestamp};
@@ -185,13 +185,13 @@
         &self,
         job: &Job,
         closed: &Closed,
-        with: impl FnOnce(View<'_>, &[&Endpoint]) -> T,
+        with: impl FnOnce(FleetView<'_>, &[&Endpoint]) -> T,
     ) -> T {
         let now = self.clock.now();
         self.load.borrow_mut().advance(now);
         let directory = self.directory.borrow();
         let all = directory.of_service(now, &job.service);
-        let is_closed = |e: &Endpoint| closed.contains(&e.id) || job.closed.contains(&e.id);
+        let is_closed = |e: &Endpoint| closed.contains(&e.id) || job.backing_off.contains(&e.id);
         let is_open = |e: &&Endpoint| !is_closed(e) && self.may_run_on(job, e);
         let candidates: Vec<&Endpoint> = all.filter(is_open).collect();
         let limits = self.limits.borrow();
@@ -200,14 +200,14 @@
         // Where others schedule, the book here misses what they place.
         let alone = !schedules || instances <= 1;
         let is_new = now.since(self.clock.started_at()) < LISTEN_TIME;
-        let view = View {
+        let view = FleetView {
             now,
             home: &cfg.data_centre,
             load: &load,
-            alone: alone.then(|| self.rng.borrow_mut().random()),
+            spread_seed: alone.then(|| self.rng.borrow_mut().random()),
             starting: instances <= 1 && is_new,
             weights: &cfg.placement,
-            trust: &trust,
+            health: &trust,
             tried: &job.tried,
             is_suspect: job.suspect.is_some(),
             limits: &limits,
@@ -225,7 +225,7 @@
         let (placement, candidates) = self.decide(job, closed, |view, candidates| {
             let placement = match (engine, job.demand) {
                 (Some(engine), Some(demand)) => {
-                    place_on_engines(view, &engine, candidates, &job.wish(view.now, demand))
+                    place_on_engines(view, &engine, candidates, &job.goal(view.now, demand))
                 }
                 _ => place_on_service(view, candidates),
             };
@@ -260,7 +260,7 @@
             config:%, config_age_ms:%, instances,
             part_ms:% = Millis(Some(placement.part)), first_ms = placement.first_ms as u64,
             cost_percent, backlog_ms:% = Millis(Some(lead.backlog())),
-            writers = lead.writers().len(), places, memory = lead.memory_tokens();
+            writers = lead.decodes().len(), places, memory = lead.memory_tokens();
             "placed"
         );
     }
--- a/crates/ringbend-relay/src/ports.rs
+++ b/crates/ringbend-relay/src/ports.rs
@@ -10,8 +10,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use ringbend_gateway::{
-    Demand, Endpoint, EndpointChange, EndpointSignals, EventId, OrderAnswer, Pace, SnapshotParts,
-    Ticket, TicketId,
+    Demand, Endpoint, EndpointChange, EndpointSignals, EventId, Pace, Reservation, ReservationId,
+    ReservationReply, SnapshotParts,
 };
 use ringbend_types::{ClientAccountId, DataCentre, EndpointId, EndpointStart};
 use smallvec::SmallVec;
@@ -52,16 +52,16 @@
     /// Where it listens.
     pub address: SocketAddrV4,
     /// The memory that it holds for the prompt.
-    pub ticket: Option<TicketId>,
+    pub ticket: Option<ReservationId>,
 }
 
 /// What an engine is asked about its memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemoryOrder<'a> {
     /// Hold it, or go on holding it, for so long from now.
-    Hold(&'a Ticket, Duration),
+    Hold(&'a Reservation, Duration),
     /// Let it go.
-    Release(&'a Ticket),
+    Release(&'a Reservation),
 }
 
 /// An order as the engine takes it.
@@ -144,7 +144,7 @@
     fn order(&self, order: &MemoryOrder<'_>) -> OrderCall;
 
     /// Reads what an engine says to an order.
-    fn order_answer(&self, status: StatusCode) -> OrderAnswer;
+    fn order_answer(&self, status: StatusCode) -> ReservationReply;
 
     /// When the engine's process started, as the body of its answer to an order tells.
     fn order_start(&self, body: &[u8]) -> Option<EndpointStart>;
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -135,7 +135,7 @@
             servers.push(door);
             let link = Link::open(address).await;
             let link = link.change_context(RelayError::Listen(address.into()))?;
-            node.peers.borrow_mut().listens_at(link.address);
+            node.peers.borrow_mut().set_own_address(link.address);
             let has_seeds = !seeds.is_empty();
             // Set once, as a relay starts once.
             drop(node.link.set(link));
@@ -214,12 +214,12 @@
 
     /// How many requests are held because they end endpoints.
     pub fn held_requests(&self) -> usize {
-        self.node.quarantine.borrow().held()
+        self.node.quarantine.borrow().held_count()
     }
 
     /// How many requests are suspected of ending endpoints, those that are held included.
     pub fn known_suspects(&self) -> usize {
-        self.node.quarantine.borrow().suspects()
+        self.node.quarantine.borrow().suspect_count()
     }
 
     /// How many endpoints are known to name a limit.
--- a/crates/ringbend-relay/src/relayed.rs
+++ b/crates/ringbend-relay/src/relayed.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use ringbend_gateway::{ConfigVersion, EndpointChange, Holds, Role};
+use ringbend_gateway::{ConfigVersion, CopyVersions, EndpointChange, Role};
 use ringbend_types::Timestamp;
 use ringbend_wire::{Currency, EndpointChanges, LoadDigest, WireError, change_of, role_of};
 
@@ -61,7 +61,7 @@
     let peers = node.peers.borrow();
     node.tell_all(&told, peers.members(now).filter(|address| *address != from));
     if !from_scheduler {
-        node.tell_all(&told, peers.fellows(now));
+        node.tell_all(&told, peers.other_schedulers(now));
     }
 }
 
@@ -89,8 +89,8 @@
 /// Notes what can be had from the sender, and whether it is newer than what is here.
 fn note_holder(node: &Node, from: SocketAddrV4, currency: &Currency) {
     let config = ConfigVersion(currency.config_version);
-    let holds = Holds { config, endpoints: currency.endpoints_cursor };
-    node.peers.borrow_mut().holds(from, holds);
+    let holds = CopyVersions { config, endpoints: currency.endpoints_cursor };
+    node.peers.borrow_mut().set_copy_versions(from, holds);
     if node.replica.borrow().version().is_none_or(|own| config > own) {
         node.config_news.notify_one();
     }
@@ -100,7 +100,7 @@
 }
 
 fn take_in_currency(node: &Node, now: Timestamp, start: u64, currency: &Currency) {
-    let proved_at = node.readers.borrow().on_own_clock(start, Timestamp(currency.proved_us));
+    let proved_at = node.readers.borrow().to_own_clock(start, Timestamp(currency.proved_us));
     // Without a pairing of the clocks nothing is proved.
     let Some(proved_at) = proved_at.filter(|at| *at <= now) else { return };
     let version = ConfigVersion(currency.config_version);
@@ -120,7 +120,7 @@
     }
     let mut readers = node.readers.borrow_mut();
     readers.proved_by(reader, proved_at);
-    if readers.other_reads(reader, now.since(proved_at)) {
+    if readers.yield_to_reader(reader, now.since(proved_at)) {
         log::info!(target: "store", reader; "another instance reads");
         node.ceases_to_read.notify_waiters();
     }
--- a/crates/ringbend-relay/src/runs.rs
+++ b/crates/ringbend-relay/src/runs.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
 use ringbend_gateway::{
-    Endpoint, EventId, Placement, SuspectState, WordIn, overdue_after, second_run_at,
+    Endpoint, EventId, LimitSource, Placement, SuspectState, hedge_at, overdue_after,
 };
 use ringbend_types::Timestamp;
 use smallvec::SmallVec;
@@ -81,7 +81,7 @@
         let head = clone_head(&answer.head);
         let facts = node.dialect.answer(head.status, &head.headers);
         if !facts.is_foreign && (facts.request_id.is_none() || facts.request_id == request_id) {
-            node.apply_signals(&endpoint, asked, &facts.signals, WordIn::Answer);
+            node.apply_signals(&endpoint, asked, &facts.signals, LimitSource::Response);
         }
         let is_own = !facts.not_run && facts.request_id == request_id;
         if !(streaming && is_own && head.status == StatusCode::OK) {
@@ -113,7 +113,7 @@
         self.node.sends.borrow_mut().insert(placed.id, self.origin.fingerprint);
         self.writes_since = None;
         self.strikes_before = self.node.quarantine.borrow().strikes(self.origin.fingerprint);
-        self.attempts.sending(&endpoint.id);
+        self.attempts.record_send(&endpoint.id);
         self.node.backoffs.borrow_mut().sending(self.node.clock.now(), &endpoint);
         self.node.metrics.attempt(self.attempts.tried().len() as u32);
         let sending = Sending {
@@ -141,7 +141,7 @@
 
     /// Waits until a run begins to answer; begins a second one beside it where that can be in time.
     pub(crate) async fn first_of(&mut self, mut run: Run) -> Result<(Run, Began), Failed> {
-        let Some(at) = self.second_run_at(&run) else { return self.only(run).await };
+        let Some(at) = self.hedge_at(&run) else { return self.only(run).await };
         match self.timed(&run.on, at, &mut run.began).await {
             Err(Broken::Late) => {}
             began => return self.settle(run, began),
@@ -176,12 +176,12 @@
     }
 
     /// When a second run is begun if the first one has not begun to answer; none if it is not.
-    fn second_run_at(&self, run: &Run) -> Option<Timestamp> {
+    fn hedge_at(&self, run: &Run) -> Option<Timestamp> {
         let is_short = self.terms.service.engine.is_some() && run.placed.memory.is_none();
         if !is_short || !self.may_run_twice() || self.is_suspect() {
             return None;
         }
-        second_run_at(run.sent, run.expected, self.first_by())
+        hedge_at(run.sent, run.expected, self.first_by())
     }
 
     /// Whether a second run is expected to begin its answer in time, on another endpoint.
--- a/crates/ringbend-relay/src/scheduled.rs
+++ b/crates/ringbend-relay/src/scheduled.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ringbend_gateway::{
-    Endpoint, Job, Placement, SuspectState, Ticket, TicketId, TrustEvent, WorkId,
+    Endpoint, HealthEvent, Job, Placement, Reservation, ReservationId, SuspectState, WorkId,
 };
 use ringbend_types::{Fingerprint, Timestamp};
 
@@ -91,10 +91,10 @@
             first_by: self.first_by(),
             gap: self.gap(),
             // A caller that has a first event leaves at its deadline.
-            patience: if at_once { deadline } else { self.first_event_patience() },
+            caller_timeout_at: if at_once { deadline } else { self.first_event_patience() },
             deadline,
             tried: self.attempts.tried().iter().cloned().collect(),
-            closed: self.node.closed_endpoints(&self.terms.service.name),
+            backing_off: self.node.closed_endpoints(&self.terms.service.name),
             at_once,
             rank: self.urgency(),
             suspect: self.suspect(),
@@ -130,7 +130,7 @@
             Err(ticket) => {
                 let (id, endpoint) = (self.id(), &ticket.endpoint);
                 log::info!(target: "request", id, endpoint:% = endpoint, tokens = ticket.tokens; "no memory");
-                self.trust(endpoint, TrustEvent::Full);
+                self.trust(endpoint, HealthEvent::Full);
                 Err(Failed::NoMemory)
             }
         }
@@ -142,7 +142,7 @@
         held.filter_map(|(held, number)| {
             let address = directory.get(&held.endpoint)?.address;
             let (endpoint, tokens) = (held.endpoint.clone(), held.tokens);
-            let ticket = Ticket { id: TicketId { work, number }, endpoint, tokens };
+            let ticket = Reservation { id: ReservationId { work, number }, endpoint, tokens };
             Some(Place { ticket, address })
         })
         .collect()
@@ -181,7 +181,7 @@
     /// How long one engine would read the prompt.
     pub(crate) fn read_time(&self) -> Duration {
         let (engine, demand) = (&self.terms.service.engine, self.call.demand);
-        let ms = engine.zip(demand).map_or(0.0, |(e, d)| e.read_ms(d.prompt_tokens));
+        let ms = engine.zip(demand).map_or(0.0, |(e, d)| e.prefill_ms(d.prompt_tokens));
         Duration::from_secs_f64(ms / 1_000.0)
     }
 
--- a/crates/ringbend-relay/src/sending.rs
+++ b/crates/ringbend-relay/src/sending.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use actix_http::{RequestHead, StatusCode};
-use ringbend_gateway::{Endpoint, EventId, LimitWord, Placement, SendEnd, TrustEvent};
+use ringbend_gateway::{Endpoint, EventId, HealthEvent, LimitSignal, Placement, SendOutcome};
 use ringbend_types::EndpointId;
 use smallvec::SmallVec;
 
@@ -28,15 +28,15 @@
                 Some(address) => self.distrust_address(address),
                 None if facts.is_foreign => self.distrust_foreign(&endpoint.id),
                 // It takes no more for now than it has named, and is as good as before.
-                None if matches!(facts.signals.limit, LimitWord::Names(_)) => {}
-                None => self.trust(&endpoint.id, TrustEvent::Full),
+                None if matches!(facts.signals.limit, LimitSignal::Rate(_)) => {}
+                None => self.trust(&endpoint.id, HealthEvent::Full),
             }
-            return Err(Failed::Send(SendEnd::NotRun));
+            return Err(Failed::Send(SendOutcome::NotRun));
         }
         if facts.request_id != self.call.request_id {
             log::warn!(target: "request", id, endpoint:% = endpoint.id, status; "foreign answer");
-            self.trust(&endpoint.id, TrustEvent::Bad);
-            return Err(Failed::Send(SendEnd::Unknown));
+            self.trust(&endpoint.id, HealthEvent::Bad);
+            return Err(Failed::Send(SendOutcome::Unknown));
         }
         Ok(())
     }
@@ -44,13 +44,13 @@
     pub(crate) fn distrust_address(&self, address: SocketAddrV4) {
         let directory = self.node.directory.borrow();
         let Some(endpoint) = directory.by_address(address) else { return };
-        self.trust(&endpoint.id, TrustEvent::Bad);
+        self.trust(&endpoint.id, HealthEvent::Bad);
         self.tell_unfit(&endpoint.id);
     }
 
     /// Notes that another endpoint answered at this one's address, so this one has ended.
     fn distrust_foreign(&self, endpoint: &EndpointId) {
-        self.trust(endpoint, TrustEvent::Foreign);
+        self.trust(endpoint, HealthEvent::Foreign);
         self.tell_unfit(endpoint);
     }
 
@@ -60,7 +60,7 @@
         self.node.signals.soon.notify_one();
     }
 
-    pub(crate) fn trust(&self, endpoint: &EndpointId, event: TrustEvent) {
+    pub(crate) fn trust(&self, endpoint: &EndpointId, event: HealthEvent) {
         self.node.trust.borrow_mut().note(self.node.clock.now(), endpoint, event);
         if !self.node.schedules() {
             // Whoever places the next request must know.
@@ -77,11 +77,11 @@
                 endpoint:% = endpoint.id, why:%;
                 "broken off"
             );
-            self.attempts.broken_off();
+            self.attempts.record_aborted();
             return Failed::Held;
         }
         if !matches!(why, Broken::Ended) {
-            self.trust(&endpoint.id, TrustEvent::Bad);
+            self.trust(&endpoint.id, HealthEvent::Bad);
         }
         if matches!(why, Broken::Exchange(_)) && self.terms.service.engine.is_some() {
             // Schedulers of other data centres hear of it if it does not say how it is either.
@@ -91,7 +91,7 @@
             log::warn!(target: "request", id = self.id(), endpoint:% = endpoint.id, why:%; "left");
             return Failed::Replaced;
         }
-        let end = if why.nothing_sent() { SendEnd::NotSent } else { SendEnd::Unknown };
+        let end = if why.nothing_sent() { SendOutcome::NotSent } else { SendOutcome::Unknown };
         log::warn!(
             target: "request", id = self.id(), fingerprint:% = self.origin.fingerprint,
             endpoint:% = endpoint.id, why:%, end:? = end;
@@ -121,7 +121,7 @@
         let order = SendOrder {
             endpoint: endpoint.id.clone(),
             account: self.terms.account.as_ref().map(|a| a.id.clone()),
-            time_left: self.attempts.left(self.node.clock.now()),
+            time_left: self.attempts.remaining(self.node.clock.now()),
             last_event: last_event.or(self.call.last_event),
             helpers,
             priority: self.terms.service.engine.map(|_| self.rank()),
--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use ringbend_gateway::{Drain, Endpoint, EndpointSignals, MalformedSignal, Signal, WordIn};
+use ringbend_gateway::{Drain, Endpoint, EndpointSignals, LimitSource, MalformedSignal, Signal};
 use ringbend_types::{EndpointId, RetryAfter, Timestamp};
 use ringbend_wire::{EndpointDrain, LoadDigest, drain_of, told_drain};
 
@@ -33,7 +33,7 @@
         endpoint: &Endpoint,
         sent: Timestamp,
         signals: &EndpointSignals,
-        from: WordIn,
+        from: LimitSource,
     ) {
         self.hear_limit(endpoint, sent, signals.limit, from);
         match signals.draining {
@@ -48,7 +48,7 @@
             Signal::Present(after) => self.begin_backoff(endpoint, after),
             Signal::Malformed(why) => self.log_malformed(endpoint, "retry-after", why),
             // That an endpoint tells how it is does not mean that it takes requests.
-            Signal::Absent if from == WordIn::Answer && !signals.rejected => {
+            Signal::Absent if from == LimitSource::Response && !signals.rejected => {
                 self.end_backoff(endpoint, sent);
             }
             Signal::Absent => {}
@@ -70,7 +70,7 @@
         log::info!(target: "endpoints", endpoint:%, from, draining; "endpoint is draining");
         self.metrics.draining_endpoints.set(draining as i64);
         let mut outbox = self.outbox.borrow_mut();
-        outbox.drains_at_home.push(endpoint.clone());
+        outbox.local_drains.push(endpoint.clone());
         if for_all {
             outbox.drains.push(endpoint);
         }
--- a/crates/ringbend-relay/src/silence.rs
+++ b/crates/ringbend-relay/src/silence.rs
@@ -92,7 +92,7 @@
     pub(crate) fn run_beside(&mut self) -> bool {
         let now = self.node.clock.now();
         let budget = &mut self.node.budget.borrow_mut();
-        self.attempts.run_beside(now, &self.terms.service.name, budget)
+        self.attempts.begin_hedge(now, &self.terms.service.name, budget)
     }
 
     /// Waits until `by` or until the process of an endpoint that the work depends on has ended. The first of those is
--- a/crates/ringbend-relay/src/streams.rs
+++ b/crates/ringbend-relay/src/streams.rs
@@ -5,7 +5,7 @@
 
 use actix_http::ResponseHead;
 use bytes::Bytes;
-use ringbend_gateway::{Endpoint, Event, EventCutter, EventId, Next, SendEnd};
+use ringbend_gateway::{Endpoint, Event, EventId, EventSplitter, NextStep, SendOutcome};
 use ringbend_runtime::{HttpResponse, StreamError, StreamReply, stream};
 use ringbend_types::Timestamp;
 use smallvec::SmallVec;
@@ -28,14 +28,14 @@
 /// The events of one answer.
 pub(crate) struct Events {
     answer: Answer,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     ready: VecDeque<Event>,
     last: Option<EventId>,
 }
 
 impl Events {
     pub(crate) fn new(answer: Answer, last: Option<EventId>) -> Self {
-        Self { answer, cutter: EventCutter::default(), ready: VecDeque::new(), last }
+        Self { answer, cutter: EventSplitter::default(), ready: VecDeque::new(), last }
     }
 
     /// The next event that was not passed on before; none once the stream has ended whole.
@@ -172,7 +172,7 @@
         }
         let goes_on = match failed {
             Failed::Replaced => true,
-            Failed::Send(end) => life.next(end) == Next::SendAgain,
+            Failed::Send(end) => life.next(end) == NextStep::Retry,
             Failed::NoMemory => life.wait_for_memory().await,
             Failed::NoEndpoint
             | Failed::NoTurn
@@ -201,6 +201,6 @@
     life.check(&run.endpoint, &facts, head.status)?;
     match rest {
         Rest::Events(events, first) => Ok(run.into_stream(head, events, first)),
-        Rest::Body(_) => Err(Failed::Send(SendEnd::FailedAnswer)),
+        Rest::Body(_) => Err(Failed::Send(SendOutcome::FailedAnswer)),
     }
 }
--- a/crates/ringbend-relay/src/suspects.rs
+++ b/crates/ringbend-relay/src/suspects.rs
@@ -39,15 +39,15 @@
     /// Writes the line of what is now known of a request, marks its runs here, and has others told.
     pub(crate) fn changed_suspect(&self, of: Fingerprint, for_all: bool) {
         let state = self.suspect_state(of);
-        let known = self.quarantine.borrow().of(of).cloned();
+        let known = self.quarantine.borrow().get(of).cloned();
         let ended = known.iter().flat_map(|s| &s.ended).map(|p| p.endpoint.as_str());
         let ended = ended.collect::<Vec<_>>().join(" ");
         let (round, tries) = known.as_ref().map_or((0, 0), |s| (s.round, s.tries));
         log::info!(target: "suspects", fingerprint:% = of, state:?, ended, round, tries; "suspect");
-        self.metrics.held_requests.set(self.quarantine.borrow().held() as i64);
+        self.metrics.held_requests.set(self.quarantine.borrow().held_count() as i64);
         {
             let mut outbox = self.outbox.borrow_mut();
-            outbox.suspicions_at_home.push(of);
+            outbox.local_suspicions.push(of);
             if for_all {
                 outbox.suspicions.push(of);
             }
@@ -67,7 +67,7 @@
 
     /// Notes that a run of a request ended well.
     pub(crate) fn clear_suspect(self: &Rc<Self>, of: Fingerprint) {
-        let was_grave = self.quarantine.borrow().of(of).is_some_and(|s| s.is_grave());
+        let was_grave = self.quarantine.borrow().get(of).is_some_and(|s| s.is_severe());
         if self.quarantine.borrow_mut().clear(self.clock.now(), of) {
             self.changed_suspect(of, true);
             if was_grave {
@@ -79,7 +79,7 @@
     /// What is known of these requests, as told to others, and what was noted lately.
     pub(crate) fn told_suspicions(&self, of: &[Fingerprint], now: Timestamp) -> Vec<Suspicion> {
         let quarantine = self.quarantine.borrow();
-        let named = of.iter().filter_map(|of| quarantine.of(*of));
+        let named = of.iter().filter_map(|of| quarantine.get(*of));
         let recent = quarantine.recent(now).filter(|s| !of.contains(&s.fingerprint));
         named.chain(recent).take(TOLD_AT_ONCE).map(told_suspicion).collect()
     }
@@ -121,7 +121,7 @@
     /// Notes that this instance knows what there was to know of suspects when it started.
     pub(crate) fn know_suspects(&self, from: &str) {
         if !self.knows_suspects.replace(true) {
-            let held = self.quarantine.borrow().held();
+            let held = self.quarantine.borrow().held_count();
             log::info!(target: "suspects", from, held; "suspects known");
             self.begun.notify_waiters();
             self.tell_started();
@@ -135,7 +135,8 @@
         }
         let (now, digests) = (self.clock.now(), self.all_suspects());
         let peers = self.peers.borrow();
-        let others: Vec<SocketAddrV4> = peers.members(now).chain(peers.fellows(now)).collect();
+        let others: Vec<SocketAddrV4> =
+            peers.members(now).chain(peers.other_schedulers(now)).collect();
         drop(peers);
         digests.iter().for_each(|digest| self.tell_all(digest, others.iter().copied()));
     }
@@ -162,13 +163,13 @@
         engine: Option<EngineProfile>,
         of: Fingerprint,
     ) -> Result<Placement, Denied> {
-        let until = (self.clock.now() + ARBITER_TIME).min(job.patience).min(job.deadline);
+        let until = (self.clock.now() + ARBITER_TIME).min(job.caller_timeout_at).min(job.deadline);
         loop {
             let now = self.clock.now();
             let arbiter = self.peers.borrow().arbiter(now, &job.service, &[]);
             match arbiter {
-                Some(Arbiter::Own) => return self.place_suspect(id, job, engine, of).await,
-                Some(Arbiter::At(_)) => {
+                Some(Arbiter::Local) => return self.place_suspect(id, job, engine, of).await,
+                Some(Arbiter::Remote(_)) => {
                     let next = |peers: &Peers, now, asked: &[SocketAddrV4]| {
                         peers.arbiter(now, &job.service, asked).and_then(Arbiter::address)
                     };
@@ -233,7 +234,7 @@
     ) -> Result<Placement, Denied> {
         self.wait_for_turn(id, job, engine).await?;
         let began = self.clock.now();
-        let until = job.patience.min(job.deadline);
+        let until = job.caller_timeout_at.min(job.deadline);
         let placement = loop {
             if self.may_place_suspect(id, job, of)? {
                 match self.place_now(id, job, engine) {
--- a/crates/ringbend-relay/src/telling.rs
+++ b/crates/ringbend-relay/src/telling.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use ringbend_gateway::{HEARTBEAT, Outbox, WorkId};
+use ringbend_gateway::{HEARTBEAT_INTERVAL, Outbox, WorkId};
 use ringbend_types::{EndpointId, Timestamp};
 use ringbend_wire::{
     EndpointChanges, EndpointRestart, LoadDigest, OpenWork, OwnersWork, endpoint_result,
@@ -62,13 +62,13 @@
                     () = signals.now.notified() => {}
                     () = tokio::time::sleep(GATHER) => {}
                 },
-                () = tokio::time::sleep(HEARTBEAT) => {}
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             }
             self.node.sweep_peers();
             let outbox = std::mem::take(&mut *self.node.outbox.borrow_mut());
             let changes = self.node.endpoint_changes.borrow_mut().take();
             if self.node.schedules() {
-                self.node.look_into(outbox.suspects.iter().cloned());
+                self.node.look_into(outbox.slow_engines.iter().cloned());
                 self.tell_as_scheduler(&outbox, changes);
             } else {
                 self.tell_as_member(outbox, changes);
@@ -80,15 +80,15 @@
         let now = self.node.clock.now();
         self.told.scheduler.set(None);
         let news = self.has_news(now) || changes.is_some();
-        let suspects_at_home = !outbox.suspicions_at_home.is_empty();
-        let news = news || suspects_at_home || !outbox.limits_at_home.is_empty();
-        let news = news || !outbox.drains_at_home.is_empty();
+        let suspects_at_home = !outbox.local_suspicions.is_empty();
+        let news = news || suspects_at_home || !outbox.local_limits.is_empty();
+        let news = news || !outbox.local_drains.is_empty();
         let first = LoadDigest {
             suspicions: self.node.told_suspicions(&outbox.suspicions, now),
             limits: self.node.told_limits(&outbox.limits, now),
             drains: self.node.told_drains(&outbox.drains, now),
             unfit: outbox.unfit.iter().map(EndpointId::to_string).collect(),
-            gone: outbox.gone.clone(),
+            gone: outbox.ended_instances.clone(),
             restarts: restarts(outbox),
             paces: told_paces(&outbox.paces),
             endpoint_changes: changes.clone(),
@@ -100,7 +100,7 @@
         if !news && work.is_empty() && is_quiet {
             return;
         }
-        let fellows = self.node.peers.borrow().fellows(now);
+        let fellows = self.node.peers.borrow().other_schedulers(now);
         for digest in &self.node.with_work(first, work) {
             self.node.tell_all(digest, fellows.iter().copied());
         }
@@ -110,15 +110,15 @@
         let heartbeat = LoadDigest {
             endpoint_changes: changes,
             restarts: restarts(outbox),
-            suspicions: self.node.told_suspicions(&outbox.suspicions_at_home, now),
-            limits: self.node.told_limits(&outbox.limits_at_home, now),
-            drains: self.node.told_drains(&outbox.drains_at_home, now),
+            suspicions: self.node.told_suspicions(&outbox.local_suspicions, now),
+            limits: self.node.told_limits(&outbox.local_limits, now),
+            drains: self.node.told_drains(&outbox.local_drains, now),
             ..self.node.digest()
         };
         let peers = self.node.peers.borrow();
         self.node.tell_all(&heartbeat, peers.members(now).chain(peers.silent_schedulers(now)));
         let wanted = LoadDigest { call_up: true, ..self.node.digest() };
-        self.node.tell_all(&wanted, peers.wanted(now));
+        self.node.tell_all(&wanted, peers.promotion_candidates(now));
     }
 
     fn tell_as_member(&self, mut outbox: Outbox, changes: Option<EndpointChanges>) {
@@ -141,7 +141,7 @@
                 unfit: outbox.unfit.iter().map(EndpointId::to_string).collect(),
                 results: results.collect(),
                 restarts: restarts(&outbox),
-                suspects: outbox.suspects.iter().map(EndpointId::to_string).collect(),
+                suspects: outbox.slow_engines.iter().map(EndpointId::to_string).collect(),
                 suspicions: suspicions.clone(),
                 limits: limits.clone(),
                 drains: drains.clone(),
@@ -160,7 +160,7 @@
                 drains,
                 ..self.node.digest()
             };
-            let others = self.node.peers.borrow().home_schedulers(now);
+            let others = self.node.peers.borrow().local_schedulers(now);
             let others = others.into_iter().filter(|address| Some(*address) != scheduler);
             self.node.tell_all(&heartbeat, others);
         }
@@ -172,7 +172,7 @@
         let currency = currency(&self.node).unwrap_or_default();
         let Told { at, proved_at, config, endpoints, schedules, .. } = &self.told;
         let proof = Timestamp(currency.proved_us);
-        let is_due = now.since(at.get()) >= HEARTBEAT - GATHER;
+        let is_due = now.since(at.get()) >= HEARTBEAT_INTERVAL - GATHER;
         let is_proved = proof.since(proved_at.get()) >= PROOF_STEP;
         let part = self.node.schedules();
         let has_changed = config.replace(currency.config_version) != currency.config_version
@@ -232,7 +232,7 @@
         let now = self.clock.now();
         let load = self.load.borrow();
         for id in &outbox.waiting {
-            let Some(waiting) = load.waits(*id) else { continue };
+            let Some(waiting) = load.waiting_prompt(*id) else { continue };
             owner(&mut owners, *id).waiting.push(waiting_work(now, *id, waiting));
         }
         for id in &outbox.placed {
--- a/crates/ringbend-relay/src/turns.rs
+++ b/crates/ringbend-relay/src/turns.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ringbend_gateway::{Claim, Demand, EngineProfile, Job, Turn, Waiting, WorkId, turn};
+use ringbend_gateway::{
+    Demand, EngineProfile, Job, QueuedPrompt, Turn, WaitingPrompt, WorkId, decide_turn,
+};
 use ringbend_types::Timestamp;
 
 use crate::node::Node;
@@ -33,22 +35,23 @@
         let (mut had_too_few, mut had_to_give_way) = (false, false);
         loop {
             let now = self.clock.now();
-            let unused = passed_over_at.map_or(Duration::ZERO, |at| now.since(at));
-            let claim = Claim { id, unused, wish: job.wish(now, demand) };
+            let passed_over_for = passed_over_at.map_or(Duration::ZERO, |at| now.since(at));
+            let claim = QueuedPrompt { id, passed_over_for, goal: job.goal(now, demand) };
             let closed = self.closed_to(id, job);
-            let turn = self
-                .decide(job, &closed, |view, candidates| turn(view, &engine, candidates, &claim));
+            let turn = self.decide(job, &closed, |view, candidates| {
+                decide_turn(view, &engine, candidates, &claim)
+            });
             let look = match turn {
                 Turn::Now => break,
                 Turn::TooLate => return Err(Denied::NoTurn),
-                Turn::TooFew => {
+                Turn::TooFewEngines => {
                     if !had_too_few {
                         log::info!(target: "request", id = job.request.as_ref(); "waits for more engines");
                     }
                     had_too_few = true;
                     LONGEST_LOOK
                 }
-                Turn::TooDear => {
+                Turn::TooCostly => {
                     if !had_to_give_way {
                         log::info!(target: "request", id = job.request.as_ref(); "gives way");
                     }
@@ -59,7 +62,7 @@
                     passed_over_at.get_or_insert(now);
                     SHORTEST_LOOK
                 }
-                Turn::In(left) => {
+                Turn::After(left) => {
                     passed_over_at = None;
                     left.clamp(SHORTEST_LOOK, LONGEST_LOOK)
                 }
@@ -77,13 +80,13 @@
 
     /// Tells other schedulers that a long prompt waits.
     fn begin_to_wait(&self, id: WorkId, job: &Job, engine: EngineProfile, demand: Demand) {
-        let read = Duration::from_secs_f64(engine.read_ms(demand.prompt_tokens) / 1e3);
-        let waiting = Waiting {
+        let read = Duration::from_secs_f64(engine.prefill_ms(demand.prompt_tokens) / 1e3);
+        let waiting = WaitingPrompt {
             service: job.service.clone(),
             read,
             since: job.since,
             first_by: job.first_by,
-            until: job.patience,
+            until: job.caller_timeout_at,
         };
         self.load.borrow_mut().wait(id, waiting);
         self.outbox.borrow_mut().waiting.push(id);
--- a/crates/ringbend-relay/src/watch.rs
+++ b/crates/ringbend-relay/src/watch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::Rng;
-use ringbend_gateway::{LONGEST_REST, Pauses, Proof};
+use ringbend_gateway::{MAX_SECONDARY_BACKOFF, Proof, StoreBackoff};
 use ringbend_types::Timestamp;
 
 use crate::node::Node;
@@ -66,7 +66,7 @@
     fn prove(&self, node: &Node, proof: Proof, paired: bool);
 
     /// Notes that the store answers again.
-    fn regained(&self, node: &Node);
+    fn store_recovered(&self, node: &Node);
 }
 
 /// Follows one table for as long as the process lives.
@@ -75,12 +75,12 @@
     source: Rc<dyn Source<Whole, Change>>,
     copy: C,
     lost_at: Option<Timestamp>,
-    pauses: Pauses,
+    pauses: StoreBackoff,
 }
 
 impl<Whole, Change, C: Copy<Whole, Change>> Watch<Whole, Change, C> {
     pub(crate) fn new(node: Rc<Node>, source: Rc<dyn Source<Whole, Change>>, copy: C) -> Self {
-        Self { node, source, copy, lost_at: None, pauses: Pauses::default() }
+        Self { node, source, copy, lost_at: None, pauses: StoreBackoff::default() }
     }
 
     pub(crate) async fn run(mut self) {
@@ -209,14 +209,14 @@
     }
 
     fn answered(&mut self) {
-        self.pauses.answered();
+        self.pauses.reset();
         if C::SENTINEL && self.node.store_lost_at.take().is_some() {
             self.node.store_regained.notify_waiters();
         }
         let Some(lost_at) = self.lost_at.take() else { return };
         let away_ms = self.node.clock.now().since(lost_at).as_millis() as u64;
         log::info!(target: "store", table = C::NAME, away_ms; "regained");
-        self.copy.regained(&self.node);
+        self.copy.store_recovered(&self.node);
     }
 
     async fn failed(&mut self, e: SourceError) {
@@ -240,7 +240,7 @@
         // One watch asking a lost store is enough; the bound is for a sentinel that fails otherwise.
         tokio::select! {
             () = self.node.store_regained.notified() => {}
-            () = tokio::time::sleep(LONGEST_REST) => {}
+            () = tokio::time::sleep(MAX_SECONDARY_BACKOFF) => {}
             () = self.copy.news(&self.node) => {}
         }
     }
@@ -248,7 +248,7 @@
     fn pause(&mut self) -> Duration {
         let instances = self.node.peers.borrow().instances(self.node.clock.now());
         let draw = self.node.rng.borrow_mut().random();
-        self.pauses.next(instances, C::SENTINEL, draw)
+        self.pauses.next_delay(instances, C::SENTINEL, draw)
     }
 }
 
--- a/crates/ringbend-wire/src/limits.rs
+++ b/crates/ringbend-wire/src/limits.rs
@@ -1,13 +1,13 @@
 //! Between what instances tell of endpoints' limits and the types that decide by them.
 
-use ringbend_gateway::NamedLimit;
+use ringbend_gateway::KnownLimit;
 use ringbend_types::{EndpointStart, RequestRate};
 
 use crate::generated::EndpointLimit;
 use crate::map::WireError;
 
 /// What is known of an endpoint's limit, as told to peers.
-pub fn told_limit(limit: &NamedLimit) -> EndpointLimit {
+pub fn told_limit(limit: &KnownLimit) -> EndpointLimit {
     EndpointLimit {
         endpoint: limit.endpoint.to_string(),
         start_ms: limit.start.map(|start| start.0),
@@ -21,8 +21,8 @@
 /// # Errors
 ///
 /// The endpoint's id is malformed.
-pub fn limit_of(told: &EndpointLimit) -> Result<NamedLimit, WireError> {
-    Ok(NamedLimit {
+pub fn limit_of(told: &EndpointLimit) -> Result<KnownLimit, WireError> {
+    Ok(KnownLimit {
         endpoint: told.endpoint.parse()?,
         start: told.start_ms.map(EndpointStart),
         version: told.version,
--- a/crates/ringbend-wire/src/load.rs
+++ b/crates/ringbend-wire/src/load.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use ringbend_gateway::{Demand, Held, Job, Pace, Role, TrustEvent, Waiting, Work, WorkId};
+use ringbend_gateway::{
+    Demand, HealthEvent, HelperMemory, Job, Pace, Role, WaitingPrompt, Work, WorkId,
+};
 use ringbend_types::{EndpointId, Fingerprint, ParseFingerprintError, ParseIdError, Timestamp};
 
 use crate::generated::{
@@ -42,12 +44,12 @@
     if bytes.is_empty() { Ok(None) } else { bytes.try_into().map(Some) }
 }
 
-fn held_memory(held: &Held) -> HeldMemory {
+fn held_memory(held: &HelperMemory) -> HeldMemory {
     HeldMemory { endpoint: held.endpoint.to_string(), tokens: held.tokens }
 }
 
-fn held_of(held: &HeldMemory) -> Result<Held, ParseIdError> {
-    Ok(Held { endpoint: held.endpoint.parse()?, tokens: held.tokens })
+fn held_of(held: &HeldMemory) -> Result<HelperMemory, ParseIdError> {
+    Ok(HelperMemory { endpoint: held.endpoint.parse()?, tokens: held.tokens })
 }
 
 /// Work as told by a peer and received at `now`.
@@ -73,7 +75,7 @@
 }
 
 /// A long prompt that waits, as told to peers at `now`.
-pub fn waiting_work(now: Timestamp, id: WorkId, waiting: &Waiting) -> WaitingWork {
+pub fn waiting_work(now: Timestamp, id: WorkId, waiting: &WaitingPrompt) -> WaitingWork {
     WaitingWork {
         sequence: id.sequence,
         read_us: u64::try_from(waiting.read.as_micros()).unwrap_or(u64::MAX),
@@ -89,8 +91,8 @@
 /// # Errors
 ///
 /// The service's name is malformed.
-pub fn waiting_of(now: Timestamp, told: &WaitingWork) -> Result<Waiting, WireError> {
-    Ok(Waiting {
+pub fn waiting_of(now: Timestamp, told: &WaitingWork) -> Result<WaitingPrompt, WireError> {
+    Ok(WaitingPrompt {
         service: told.service.parse()?,
         read: Duration::from_micros(told.read_us),
         since: now - Duration::from_millis(told.age_ms),
@@ -110,14 +112,14 @@
         age_ms: millis(now.since(job.since)),
         first_in_ms: millis(job.first_by.since(now)),
         gap_ms: millis(job.gap),
-        patience_ms: millis(job.patience.since(now)),
+        patience_ms: millis(job.caller_timeout_at.since(now)),
         left_ms: millis(job.deadline.since(now)),
         tried: job.tried.iter().map(EndpointId::to_string).collect(),
         at_once: job.at_once,
         owner: None,
         suspect: suspect_bytes(job.suspect),
         rank: job.rank.into(),
-        closed: job.closed.iter().map(EndpointId::to_string).collect(),
+        closed: job.backing_off.iter().map(EndpointId::to_string).collect(),
     }
 }
 
@@ -137,10 +139,10 @@
         since: now - Duration::from_millis(ask.age_ms),
         first_by: now + Duration::from_millis(ask.first_in_ms),
         gap: Duration::from_millis(ask.gap_ms),
-        patience: now + Duration::from_millis(ask.patience_ms),
+        caller_timeout_at: now + Duration::from_millis(ask.patience_ms),
         deadline: now + Duration::from_millis(ask.left_ms),
         tried: tried.collect::<Result<_, ParseIdError>>()?,
-        closed: closed.collect::<Result<_, ParseIdError>>()?,
+        backing_off: closed.collect::<Result<_, ParseIdError>>()?,
         at_once: ask.at_once,
         rank: u8::try_from(ask.rank).unwrap_or(u8::MAX),
         suspect: suspect_of(&ask.suspect)?,
@@ -148,12 +150,12 @@
 }
 
 /// How a request went at an endpoint, as told to a scheduler.
-pub fn endpoint_result(endpoint: &EndpointId, event: TrustEvent) -> EndpointResult {
+pub fn endpoint_result(endpoint: &EndpointId, event: HealthEvent) -> EndpointResult {
     let kind = match event {
-        TrustEvent::Good => ResultKind::Good,
-        TrustEvent::Bad => ResultKind::Bad,
-        TrustEvent::Full => ResultKind::Full,
-        TrustEvent::Foreign => ResultKind::Foreign,
+        HealthEvent::Good => ResultKind::Good,
+        HealthEvent::Bad => ResultKind::Bad,
+        HealthEvent::Full => ResultKind::Full,
+        HealthEvent::Foreign => ResultKind::Foreign,
     };
     EndpointResult { endpoint: endpoint.to_string(), kind: kind.into() }
 }
@@ -163,12 +165,12 @@
 /// # Errors
 ///
 /// The endpoint's id is malformed.
-pub fn result_of(told: &EndpointResult) -> Result<(EndpointId, TrustEvent), WireError> {
+pub fn result_of(told: &EndpointResult) -> Result<(EndpointId, HealthEvent), WireError> {
     let event = match told.kind() {
-        ResultKind::Good => TrustEvent::Good,
-        ResultKind::Bad => TrustEvent::Bad,
-        ResultKind::Full => TrustEvent::Full,
-        ResultKind::Foreign => TrustEvent::Foreign,
+        ResultKind::Good => HealthEvent::Good,
+        ResultKind::Bad => HealthEvent::Bad,
+        ResultKind::Full => HealthEvent::Full,
+        ResultKind::Foreign => HealthEvent::Foreign,
     };
     Ok((told.endpoint.parse()?, event))
 }
