--- a/crates/ringbend-bench/src/shares.rs
+++ b/crates/ringbend-bench/src/shares.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use ringbend_policy::{
-    GrantReply, GrantRequest, LimitVerdict, Limits, ShareAction, ShareConfig, ShareEvent, Shares,
+    GrantReply, GrantRequest, LimitShares, LimitVerdict, Limits, ShareAction, ShareConfig,
+    ShareEvent,
 };
 use ringbend_settings::configs::LimitsConfig;
 use ringbend_types::{ClientAccountId, InstanceId, Timestamp, TokenCount};
@@ -118,7 +119,7 @@
     scenario: ShareScenario,
     leased: bool,
     now: Timestamp,
-    shares: Vec<Shares>,
+    shares: Vec<LimitShares>,
     limits: Vec<Limits>,
     alive: Vec<bool>,
     letters: VecDeque<(Timestamp, Letter)>,
@@ -156,7 +157,7 @@
 
 impl Run {
     fn new(scenario: ShareScenario, leased: bool, n: usize) -> Self {
-        let shares = (0..n).map(|n| Shares::new(ShareConfig::default(), instance(n)));
+        let shares = (0..n).map(|n| LimitShares::new(ShareConfig::default(), instance(n)));
         let cfg = LimitsConfig { tokens_per_s: RATE, burst_s: 1, ..LimitsConfig::default() };
         let mut run = Self {
             scenario,
@@ -182,7 +183,7 @@
             let live: Vec<InstanceId> = live.map(instance).collect();
             let event = ShareEvent::Peers { live, expected: self.n };
             self.share(n, event);
-            let equal = self.shares[n].equal();
+            let equal = self.shares[n].equal_share();
             self.limits[n].set_default_share(equal);
         }
     }
@@ -244,7 +245,7 @@
                 let cost = TokenCount(COST);
                 let verdict = self.limits[n].try_take(self.now, &account(), cost, &self.cfg);
                 if verdict == LimitVerdict::Within {
-                    self.limits[n].ended(&account(), cost);
+                    self.limits[n].release(&account(), cost);
                     used += COST;
                 }
             }
@@ -292,16 +293,16 @@
         let due = self.now + LATENCY;
         for action in self.shares[n].handle(self.now, event) {
             match action {
-                ShareAction::Ask(owner, request) => {
+                ShareAction::SendRequest(owner, request) => {
                     let body = envelope::Body::GrantRequest((&request).into());
                     self.count(body);
                     self.letters.push_back((due, Letter::Request(index(&owner), request)));
                 }
-                ShareAction::Answer(to, reply) => {
+                ShareAction::SendReply(to, reply) => {
                     self.count(envelope::Body::GrantReply((&reply).into()));
                     self.letters.push_back((due, Letter::Reply(index(&to), reply)));
                 }
-                ShareAction::Share(account, share) => {
+                ShareAction::SetShare(account, share) => {
                     self.limits[n].set_share(account, Some(share));
                 }
             }
--- a/crates/ringbend-policy/src/backoff.rs
+++ b/crates/ringbend-policy/src/backoff.rs
@@ -42,7 +42,7 @@
 
 /// A Retry-After for a caller: the estimate, spread over as much again, so that callers who were
 /// refused together do not return together.
-pub fn spread(estimate: Duration, rng: &mut impl Rng) -> Duration {
+pub fn jittered_retry_after(estimate: Duration, rng: &mut impl Rng) -> Duration {
     let estimate = estimate.max(Duration::from_millis(500));
     estimate + estimate.mul_f64(rng.random::<f64>())
 }
--- a/crates/ringbend-policy/src/bucket.rs
+++ b/crates/ringbend-policy/src/bucket.rs
@@ -27,7 +27,7 @@
     }
 
     /// Changes rate and burst, keeping the level as far as the new burst holds it.
-    pub fn set(&mut self, now: Timestamp, rate: f64, burst: f64) {
+    pub fn reconfigure(&mut self, now: Timestamp, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
         self.burst = burst;
@@ -60,7 +60,7 @@
     }
 
     /// Puts tokens back.
-    pub fn put_back(&mut self, tokens: TokenCount) {
+    pub fn refund(&mut self, tokens: TokenCount) {
         self.level = (self.level + tokens.0 as f64).min(self.burst);
     }
 
--- a/crates/ringbend-policy/src/choice.rs
+++ b/crates/ringbend-policy/src/choice.rs
@@ -14,7 +14,7 @@
     /// Which.
     pub endpoint: EndpointId,
     /// Predicted time to first token.
-    pub predicted: Duration,
+    pub predicted_ttft: Duration,
     /// Requests of this instance that run there, and those that it reported.
     pub outstanding: u32,
 }
@@ -44,7 +44,7 @@
 }
 
 /// The weight of `name` for `key`; the name with the highest weight is the key's home.
-pub fn rendezvous(name: &str, key: u64) -> u64 {
+pub fn rendezvous_weight(name: &str, key: u64) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), key)
 }
 
@@ -84,7 +84,7 @@
         }
         let one = rng.random_range(0..candidates.len());
         let other = rng.random_range(0..candidates.len());
-        let sooner = candidates[one].predicted <= candidates[other].predicted;
+        let sooner = candidates[one].predicted_ttft <= candidates[other].predicted_ttft;
         Some(if sooner { one } else { other })
     }
 }
@@ -98,9 +98,9 @@
 
 impl EndpointChoice for PredictedFinish {
     fn choose(&mut self, candidates: &[Candidate], _: u64, rng: &mut ChaCha8Rng) -> Option<usize> {
-        let best = candidates.iter().map(|c| c.predicted).min()?;
+        let best = candidates.iter().map(|c| c.predicted_ttft).min()?;
         let near: Vec<usize> = (0..candidates.len())
-            .filter(|i| candidates[*i].predicted <= best + PREDICTION_GRAIN)
+            .filter(|i| candidates[*i].predicted_ttft <= best + PREDICTION_GRAIN)
             .collect();
         Some(near[rng.random_range(0..near.len())])
     }
@@ -122,7 +122,7 @@
         let mean = f64::from(total + 1) / candidates.len().max(1) as f64;
         let most = (mean * self.bound).ceil();
         let fits = |i: &usize| f64::from(candidates[*i].outstanding) < most;
-        let weight = |i: &usize| rendezvous(candidates[*i].endpoint.as_str(), prefix);
+        let weight = |i: &usize| rendezvous_weight(candidates[*i].endpoint.as_str(), prefix);
         (0..candidates.len()).filter(fits).max_by_key(weight)
     }
 }
--- a/crates/ringbend-policy/src/collect.rs
+++ b/crates/ringbend-policy/src/collect.rs
@@ -8,7 +8,7 @@
 use ringbend_types::{AttemptId, EndpointId, Timestamp, TokenCount};
 use smallvec::SmallVec;
 
-use crate::choice::rendezvous;
+use crate::choice::rendezvous_weight;
 use crate::event::HeldMemory;
 
 /// The part of an engine's memory that a several-engine prompt may take, in percent.
@@ -16,7 +16,7 @@
 
 /// The place of an engine in the order that all instances share.
 pub(crate) fn rank(endpoint: &EndpointId) -> u64 {
-    rendezvous(endpoint.as_str(), 0)
+    rendezvous_weight(endpoint.as_str(), 0)
 }
 
 /// Memory that may be asked of an engine of this capacity.
--- a/crates/ringbend-policy/src/dispatcher.rs
+++ b/crates/ringbend-policy/src/dispatcher.rs
@@ -123,7 +123,7 @@
     }
 
     /// Mints the id of a request that is about to arrive.
-    pub fn mint_request(&mut self) -> RequestId {
+    pub fn next_request_id(&mut self) -> RequestId {
         self.mint.request()
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Requests waiting for an endpoint.
-    pub fn queued(&self) -> usize {
+    pub fn queued_requests(&self) -> usize {
         self.queue.len()
     }
 
--- a/crates/ringbend-policy/src/dispatcher/arrivals.rs
+++ b/crates/ringbend-policy/src/dispatcher/arrivals.rs
@@ -6,7 +6,7 @@
 use ringbend_types::{RequestId, RunState, Timestamp};
 
 use super::{Dispatcher, LOOK_AGAIN, Request, Stage};
-use crate::backoff::spread;
+use crate::backoff::jittered_retry_after;
 use crate::event::{Action, FailureCode};
 use crate::limits::LimitVerdict;
 use crate::placement::RoomKind;
@@ -20,7 +20,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Err((code, wait)) = self.admit(now, &profile) {
-            let retry_after = wait.map(|wait| spread(wait, &mut self.rng));
+            let retry_after = wait.map(|wait| jittered_retry_after(wait, &mut self.rng));
             out.push(Action::Rejected { request: profile.id, code, retry_after });
             return;
         }
--- a/crates/ringbend-policy/src/dispatcher/ends.rs
+++ b/crates/ringbend-policy/src/dispatcher/ends.rs
@@ -5,7 +5,7 @@
 use ringbend_types::{AttemptId, RequestId, RunState, Timestamp};
 
 use super::{Dispatcher, Request, Stage};
-use crate::backoff::{Backoff, spread};
+use crate::backoff::{Backoff, jittered_retry_after};
 use crate::event::{Action, AttemptEnd, FailureCode, HeldMemory, RequestEnd};
 use crate::outcome::{AfterAttempt, after_attempt, run_state};
 
@@ -41,7 +41,7 @@
         match after_attempt(end, request.profile.repeatable) {
             AfterAttempt::Answered => self.finish(id, RequestEnd::Answered, out),
             AfterAttempt::End => self.fail(id, FailureCode::EndpointFailed, None, out),
-            AfterAttempt::TryAgain => self.try_again(now, id, end, out),
+            AfterAttempt::Retry => self.try_again(now, id, end, out),
         }
     }
 
@@ -120,7 +120,7 @@
         out: &mut Vec<Action>,
     ) {
         let run_state = self.requests.get(&id).map_or(RunState::NotRun, |r| r.ran);
-        let retry_after = wait.map(|wait| spread(wait, &mut self.rng));
+        let retry_after = wait.map(|wait| jittered_retry_after(wait, &mut self.rng));
         self.finish(id, RequestEnd::Failed { code, run_state, retry_after }, out);
     }
 
@@ -133,7 +133,7 @@
     pub(super) fn forget(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.remove(&id) else { return false };
         self.timers.remove(&(request.timer, id));
-        self.limits.ended(&request.profile.account, request.profile.cost());
+        self.limits.release(&request.profile.account, request.profile.cost());
         true
     }
 
--- a/crates/ringbend-policy/src/lib.rs
+++ b/crates/ringbend-policy/src/lib.rs
@@ -20,13 +20,13 @@
 mod queue;
 mod shares;
 
-pub use backoff::{Backoff, RetryBudget, spread};
+pub use backoff::{Backoff, RetryBudget, jittered_retry_after};
 pub use bucket::TokenBucket;
-pub use choice::{Candidate, EndpointChoice, choice_for, rendezvous};
+pub use choice::{Candidate, EndpointChoice, choice_for, rendezvous_weight};
 pub use dispatcher::{Dispatcher, DispatcherConfig};
 pub use event::{Action, AttemptEnd, Dispatch, Event, FailureCode, HeldMemory, Policy, RequestEnd};
 pub use limits::{LimitVerdict, Limits};
 pub use naive::NaivePolicy;
 pub use outcome::{AfterAttempt, after_attempt, run_state};
 pub use profile::RequestProfile;
-pub use shares::{GrantReply, GrantRequest, ShareAction, ShareConfig, ShareEvent, Shares};
+pub use shares::{GrantReply, GrantRequest, LimitShares, ShareAction, ShareConfig, ShareEvent};
--- a/crates/ringbend-policy/src/limits.rs
+++ b/crates/ringbend-policy/src/limits.rs
@@ -75,7 +75,7 @@
     }
 
     /// A request that was within the limits has ended.
-    pub fn ended(&mut self, account: &ClientAccountId, cost: TokenCount) {
+    pub fn release(&mut self, account: &ClientAccountId, cost: TokenCount) {
         let Some(in_use) = self.in_use.get_mut(account) else { return };
         *in_use = in_use.saturating_sub(cost.0);
         if *in_use == 0 {
@@ -95,7 +95,7 @@
         let burst = rate * cfg.burst_s as f64;
         let new = || TokenBucket::new(now, TokensPerSecond(rate as u64), TokenCount(burst as u64));
         let bucket = self.buckets.entry(account.clone()).or_insert_with(new);
-        bucket.set(now, rate, burst);
+        bucket.reconfigure(now, rate, burst);
         bucket.try_take(now, cost)
     }
 }
--- a/crates/ringbend-policy/src/naive.rs
+++ b/crates/ringbend-policy/src/naive.rs
@@ -67,7 +67,7 @@
             let backlog = self.reports.get(&entry.id).map_or(0, |r| r.prefill_backlog.0);
             Candidate {
                 endpoint: entry.id.clone(),
-                predicted: Duration::from_secs_f64(backlog as f64 / ASSUMED_RATE),
+                predicted_ttft: Duration::from_secs_f64(backlog as f64 / ASSUMED_RATE),
                 outstanding: own.count() as u32,
             }
         })
--- a/crates/ringbend-policy/src/outcome.rs
+++ b/crates/ringbend-policy/src/outcome.rs
@@ -18,7 +18,7 @@
     /// The request is answered.
     Answered,
     /// Another attempt is allowed.
-    TryAgain,
+    Retry,
     /// The request ends.
     End,
 }
@@ -37,8 +37,8 @@
 pub fn after_attempt(end: AttemptEnd, repeatable: bool) -> AfterAttempt {
     match run_state(end) {
         None => AfterAttempt::Answered,
-        Some(RunState::NotRun) => AfterAttempt::TryAgain,
-        Some(RunState::MayHaveRun | RunState::Failed) if repeatable => AfterAttempt::TryAgain,
+        Some(RunState::NotRun) => AfterAttempt::Retry,
+        Some(RunState::MayHaveRun | RunState::Failed) if repeatable => AfterAttempt::Retry,
         Some(RunState::MayHaveRun | RunState::Failed) => AfterAttempt::End,
     }
 }
--- a/crates/ringbend-policy/src/placement.rs
+++ b/crates/ringbend-policy/src/placement.rs
@@ -7,7 +7,7 @@
 use ringbend_types::{AttemptId, EndpointId, InstanceId, ServiceName, Timestamp, TokenCount};
 use smallvec::SmallVec;
 
-use crate::choice::{Candidate, rendezvous};
+use crate::choice::{Candidate, rendezvous_weight};
 use crate::collect::{engines_needed, rank, usable};
 use crate::endpoint_view::EndpointView;
 use crate::profile::RequestProfile;
@@ -140,7 +140,7 @@
                 predicted += AWAY_PENALTY;
             }
             let endpoint = view.entry.id.clone();
-            Candidate { endpoint, predicted, outstanding: view.outstanding() }
+            Candidate { endpoint, predicted_ttft: predicted, outstanding: view.outstanding() }
         };
         let all: Vec<&EndpointView> = self.of(&profile.service).filter(fits).collect();
         // A silent engine, or the one that just failed, is taken only when there is no other.
@@ -202,6 +202,6 @@
 /// Whether another instance is the first choice for long prompts at this engine.
 pub(crate) fn is_away(endpoint: &EndpointId, own: &InstanceId, peers: &[InstanceId]) -> bool {
     let key = rank(endpoint);
-    let home = peers.iter().max_by_key(|peer| rendezvous(peer.as_str(), key));
+    let home = peers.iter().max_by_key(|peer| rendezvous_weight(peer.as_str(), key));
     home.is_some_and(|home| home != own)
 }
--- a/crates/ringbend-policy/src/shares.rs
+++ b/crates/ringbend-policy/src/shares.rs
@@ -11,20 +11,20 @@
 
 use ringbend_types::{ClientAccountId, InstanceId, Timestamp};
 
-use crate::choice::rendezvous;
+use crate::choice::rendezvous_weight;
 
 /// Times and sizes of the sharing.
 #[derive(Debug, Clone)]
 pub struct ShareConfig {
-    /// How often demand is told, among up to [`ShareConfig::few`] instances; among more, less
+    /// How often demand is told, among up to [`ShareConfig::base_instances`] instances; among more, less
     /// often in proportion, so that what an instance sends does not grow with their number.
-    pub every: Duration,
+    pub report_interval: Duration,
     /// How long a share lasts; grows with the time between tellings.
     pub lease: Duration,
     /// Up to this many instances are few.
-    pub few: usize,
+    pub base_instances: usize,
     /// The part of the rate that owners give out; the rest covers instances without a share.
-    pub leased_part: f64,
+    pub leased_fraction: f64,
     /// Half-life of the demand estimate.
     pub half_life: Duration,
 }
@@ -32,10 +32,10 @@
 impl Default for ShareConfig {
     fn default() -> Self {
         Self {
-            every: Duration::from_millis(250),
+            report_interval: Duration::from_millis(250),
             lease: Duration::from_millis(2000),
-            few: 10,
-            leased_part: 0.98,
+            base_instances: 10,
+            leased_fraction: 0.98,
             half_life: Duration::from_millis(500),
         }
     }
@@ -82,11 +82,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ShareAction {
     /// Tell demand to an owner.
-    Ask(InstanceId, GrantRequest),
+    SendRequest(InstanceId, GrantRequest),
     /// Answer an instance.
-    Answer(InstanceId, GrantReply),
+    SendReply(InstanceId, GrantReply),
     /// This instance's share of an account changed.
-    Share(ClientAccountId, f64),
+    SetShare(ClientAccountId, f64),
 }
 
 #[derive(Debug, Clone)]
@@ -110,7 +110,7 @@
 
 /// One instance's part in sharing, as asker and as owner.
 #[derive(Debug, Clone)]
-pub struct Shares {
+pub struct LimitShares {
     cfg: ShareConfig,
     own: InstanceId,
     peers: Vec<InstanceId>,
@@ -123,7 +123,7 @@
     next: Timestamp,
 }
 
-impl Shares {
+impl LimitShares {
     /// The part of `own`, alone until told of peers.
     pub fn new(cfg: ShareConfig, own: InstanceId) -> Self {
         Self {
@@ -165,15 +165,15 @@
 
     /// How much longer the times are than among few instances.
     fn stretch(&self) -> f64 {
-        (self.expected as f64 / self.cfg.few as f64).max(1.0)
+        (self.expected as f64 / self.cfg.base_instances as f64).max(1.0)
     }
 
     fn half_life_s(&self) -> f64 {
         self.cfg.half_life.as_secs_f64() * self.stretch()
     }
 
-    fn every(&self) -> Duration {
-        self.cfg.every.mul_f64(self.stretch())
+    fn report_interval(&self) -> Duration {
+        self.cfg.report_interval.mul_f64(self.stretch())
     }
 
     fn lease(&self) -> Duration {
@@ -182,8 +182,8 @@
 
     /// The owner of an account among the peers known.
     pub fn owner(&self, account: &ClientAccountId) -> &InstanceId {
-        let key = rendezvous(account.as_str(), 0);
-        self.peers.iter().max_by_key(|p| rendezvous(p.as_str(), key)).unwrap_or(&self.own)
+        let key = rendezvous_weight(account.as_str(), 0);
+        self.peers.iter().max_by_key(|p| rendezvous_weight(p.as_str(), key)).unwrap_or(&self.own)
     }
 
     fn note_demand(
@@ -204,7 +204,7 @@
         if now < self.next {
             return Vec::new();
         }
-        self.next = now + self.every();
+        self.next = now + self.report_interval();
         let half_life = self.half_life_s();
         self.demand.retain(|_, d| decayed(d, now, half_life) >= 1.0);
         let accounts = self.demand.keys().cloned().collect();
@@ -221,21 +221,21 @@
             .filter(|(_, (_, until))| *until <= now)
             .map(|(account, _)| account.clone())
             .collect();
-        let equal = self.equal();
+        let equal = self.equal_share();
         let mut actions = Vec::new();
         for account in lapsed {
             if self.demand.contains_key(&account) {
-                actions.push(ShareAction::Share(account, equal));
+                actions.push(ShareAction::SetShare(account, equal));
             } else {
                 self.shares.remove(&account);
-                actions.push(ShareAction::Share(account, equal));
+                actions.push(ShareAction::SetShare(account, equal));
             }
         }
         actions
     }
 
     /// The share of an instance that no owner has given one.
-    pub fn equal(&self) -> f64 {
+    pub fn equal_share(&self) -> f64 {
         1.0 / self.expected.max(1) as f64
     }
 
@@ -244,7 +244,7 @@
         if self.expected <= 1 {
             return 1.0;
         }
-        self.cfg.leased_part * self.peers.len() as f64 / self.expected as f64
+        self.cfg.leased_fraction * self.peers.len() as f64 / self.expected as f64
     }
 
     fn ask(&mut self, now: Timestamp, accounts: Vec<ClientAccountId>) -> Vec<ShareAction> {
@@ -259,11 +259,11 @@
         for (owner, demand) in by_owner {
             let request = GrantRequest { from: self.own.clone(), demand };
             if owner != self.own {
-                actions.push(ShareAction::Ask(owner, request));
+                actions.push(ShareAction::SendRequest(owner, request));
                 continue;
             }
             for action in self.answer(now, request) {
-                if let ShareAction::Answer(_, reply) = action {
+                if let ShareAction::SendReply(_, reply) = action {
                     actions.extend(self.take_shares(reply));
                 }
             }
@@ -277,7 +277,7 @@
             let share = self.give(now, &account, &request.from, demand);
             shares.push((account, share));
         }
-        vec![ShareAction::Answer(request.from, GrantReply { shares })]
+        vec![ShareAction::SendReply(request.from, GrantReply { shares })]
     }
 
     fn give(
@@ -315,7 +315,7 @@
         let mut actions = Vec::new();
         for (account, share) in reply.shares {
             self.shares.insert(account.clone(), (share, until));
-            actions.push(ShareAction::Share(account, share));
+            actions.push(ShareAction::SetShare(account, share));
         }
         actions
     }
--- a/crates/ringbend-policy/tests/bounds.rs
+++ b/crates/ringbend-policy/tests/bounds.rs
@@ -285,20 +285,10 @@
     let refused = AttemptEnd::Refused { retry_after: None };
     let table = [
         (AttemptEnd::Complete, None, AfterAttempt::Answered, AfterAttempt::Answered),
-        (
-            AttemptEnd::NotSent,
-            Some(RunState::NotRun),
-            AfterAttempt::TryAgain,
-            AfterAttempt::TryAgain,
-        ),
-        (refused, Some(RunState::NotRun), AfterAttempt::TryAgain, AfterAttempt::TryAgain),
-        (AttemptEnd::Broken, Some(RunState::MayHaveRun), AfterAttempt::TryAgain, AfterAttempt::End),
-        (
-            AttemptEnd::EndpointError,
-            Some(RunState::Failed),
-            AfterAttempt::TryAgain,
-            AfterAttempt::End,
-        ),
+        (AttemptEnd::NotSent, Some(RunState::NotRun), AfterAttempt::Retry, AfterAttempt::Retry),
+        (refused, Some(RunState::NotRun), AfterAttempt::Retry, AfterAttempt::Retry),
+        (AttemptEnd::Broken, Some(RunState::MayHaveRun), AfterAttempt::Retry, AfterAttempt::End),
+        (AttemptEnd::EndpointError, Some(RunState::Failed), AfterAttempt::Retry, AfterAttempt::End),
     ];
     for (end, word, repeatable, once) in table {
         assert_eq!(run_state(end), word, "{end:?}");
--- a/crates/ringbend-policy/tests/limits.rs
+++ b/crates/ringbend-policy/tests/limits.rs
@@ -7,8 +7,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use ringbend_policy::{
-    Action, Backoff, Event, FailureCode, RetryBudget, ShareAction, ShareConfig, ShareEvent, Shares,
-    TokenBucket, spread,
+    Action, Backoff, Event, FailureCode, LimitShares, RetryBudget, ShareAction, ShareConfig,
+    ShareEvent, TokenBucket, jittered_retry_after,
 };
 use ringbend_settings::configs::RetriesConfig;
 use ringbend_types::{InstanceId, Timestamp, TokenCount, TokensPerSecond};
@@ -53,8 +53,8 @@
 fn shares_that_an_owner_has_out_never_sum_to_more_than_one() {
     let ids: Vec<InstanceId> = (0..5).map(|n| format!("i{n}").parse().unwrap()).collect();
     let account = || "peach".parse().unwrap();
-    let new = |id: &InstanceId| Shares::new(ShareConfig::default(), id.clone());
-    let mut nodes: Vec<Shares> = ids.iter().map(new).collect();
+    let new = |id: &InstanceId| LimitShares::new(ShareConfig::default(), id.clone());
+    let mut nodes: Vec<LimitShares> = ids.iter().map(new).collect();
     let mut now = Timestamp(0);
     let mut held = [(0.0, Timestamp(0)); 5];
     for node in &mut nodes {
@@ -69,15 +69,15 @@
         while let Some((at, event)) = events.pop() {
             for action in nodes[at].handle(now, event) {
                 match action {
-                    ShareAction::Ask(owner, request) => {
+                    ShareAction::SendRequest(owner, request) => {
                         let owner = ids.iter().position(|id| *id == owner).unwrap();
                         events.push((owner, ShareEvent::Request(request)));
                     }
-                    ShareAction::Answer(to, reply) => {
+                    ShareAction::SendReply(to, reply) => {
                         let to = ids.iter().position(|id| *id == to).unwrap();
                         events.push((to, ShareEvent::Reply(reply)));
                     }
-                    ShareAction::Share(_, share) => held[at] = (share, now),
+                    ShareAction::SetShare(_, share) => held[at] = (share, now),
                 }
             }
         }
@@ -106,7 +106,8 @@
 #[test]
 fn callers_are_not_told_to_come_back_together() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let waits: Vec<Duration> = (0..100).map(|_| spread(Duration::from_secs(4), &mut rng)).collect();
+    let waits: Vec<Duration> =
+        (0..100).map(|_| jittered_retry_after(Duration::from_secs(4), &mut rng)).collect();
     assert!(waits.iter().all(|w| *w >= Duration::from_secs(4)));
     let latest = waits.iter().max().unwrap();
     assert!(*latest > Duration::from_secs(7), "{latest:?}");
--- a/crates/ringbendd/src/callers/failure.rs
+++ b/crates/ringbendd/src/callers/failure.rs
@@ -178,7 +178,7 @@
         let wait = match self {
             Self::Policy { retry_after, .. } => (*retry_after)?,
             Self::NotReady | Self::NoMemory | Self::NoClaim | Self::InProgress => {
-                ringbend_policy::spread(Duration::from_secs(1), &mut rand::rng())
+                ringbend_policy::jittered_retry_after(Duration::from_secs(1), &mut rand::rng())
             }
             _ => return None,
         };
--- a/crates/ringbendd/src/decisions.rs
+++ b/crates/ringbendd/src/decisions.rs
@@ -8,8 +8,8 @@
 use ringbend_ledger::HeldBy;
 use ringbend_platform::{EndpointEntry, EndpointKind, EndpointState, LoadReport, Reservation};
 use ringbend_policy::{
-    Action, Dispatch, Dispatcher, DispatcherConfig, Event, FailureCode, HeldMemory, Policy,
-    RequestEnd, ShareAction, ShareConfig, ShareEvent, Shares, rendezvous,
+    Action, Dispatch, Dispatcher, DispatcherConfig, Event, FailureCode, HeldMemory, LimitShares,
+    Policy, RequestEnd, ShareAction, ShareConfig, ShareEvent, rendezvous_weight,
 };
 use ringbend_runtime::Subscription;
 use ringbend_types::{AttemptId, ClientAccountId, EndpointId, RequestId, Seed, Timestamp};
@@ -44,7 +44,7 @@
 /// The policy, and who waits for its word.
 pub(crate) struct Decisions {
     policy: RefCell<Dispatcher>,
-    shares: RefCell<Shares>,
+    shares: RefCell<LimitShares>,
     requests: RefCell<BTreeMap<RequestId, mpsc::UnboundedSender<Signal>>>,
     running: RefCell<BTreeMap<AttemptId, RequestId>>,
     entries: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
@@ -63,7 +63,7 @@
             Dispatcher::new(DispatcherConfig { instance: instance.clone(), incarnation, seed });
         Self {
             policy: RefCell::new(policy),
-            shares: RefCell::new(Shares::new(ShareConfig::default(), instance)),
+            shares: RefCell::new(LimitShares::new(ShareConfig::default(), instance)),
             requests: RefCell::default(),
             running: RefCell::default(),
             entries: RefCell::default(),
@@ -94,7 +94,7 @@
 
     /// A new request's id, and the receiver of its signals.
     pub(crate) fn open(&self) -> (RequestId, mpsc::UnboundedReceiver<Signal>) {
-        let id = self.policy.borrow_mut().mint_request();
+        let id = self.policy.borrow_mut().next_request_id();
         let (tx, rx) = mpsc::unbounded_channel();
         self.requests.borrow_mut().insert(id, tx);
         (id, rx)
@@ -161,7 +161,7 @@
             timer.no_later_than(policy.next_wakeup());
         }
         app.metrics.open_requests.set(policy.open_requests() as i64);
-        app.metrics.queued_requests.set(policy.queued() as i64);
+        app.metrics.queued_requests.set(policy.queued_requests() as i64);
     }
 
     fn act(&self, app: &Rc<App>, action: Action) {
@@ -292,9 +292,11 @@
         let actions = self.shares.borrow_mut().handle(app.now(), event);
         for action in actions {
             match action {
-                ShareAction::Ask(owner, request) => app.peers.ask_owner(app, &owner, &request),
-                ShareAction::Answer(..) => {}
-                ShareAction::Share(account, share) => {
+                ShareAction::SendRequest(owner, request) => {
+                    app.peers.ask_owner(app, &owner, &request)
+                }
+                ShareAction::SendReply(..) => {}
+                ShareAction::SetShare(account, share) => {
                     let account = Some(account);
                     self.decide(app, Event::Share { account, share });
                 }
@@ -314,14 +316,14 @@
         let event = ShareEvent::Request(request);
         let actions = self.shares.borrow_mut().handle(app.now(), event);
         actions.into_iter().find_map(|action| match action {
-            ShareAction::Answer(_, reply) => Some(reply),
+            ShareAction::SendReply(_, reply) => Some(reply),
             _ => None,
         })
     }
 
     /// The share of accounts that no owner has given one for.
     pub(crate) fn equal_share(&self) -> f64 {
-        self.shares.borrow().equal()
+        self.shares.borrow().equal_share()
     }
 }
 
@@ -335,8 +337,8 @@
     let mut kept = Vec::new();
     for service in services {
         let mut of: Vec<&EndpointEntry> = list.iter().filter(|e| e.service == service).collect();
-        let key = rendezvous(instance, 0);
-        of.sort_by_key(|e| std::cmp::Reverse(rendezvous(e.id.as_str(), key)));
+        let key = rendezvous_weight(instance, 0);
+        of.sort_by_key(|e| std::cmp::Reverse(rendezvous_weight(e.id.as_str(), key)));
         kept.extend(of.into_iter().take(most).cloned());
     }
     kept
