--- a/crates/ringbend-playground/tests/failures.rs
+++ b/crates/ringbend-playground/tests/failures.rs
@@ -349,7 +349,7 @@
             streams.push((text, call));
             let old = fleet.instances.remove(0);
             fleet.add_instance(&format!("new-{round}")).await.unwrap();
-            assert_eq!(old.drain().await.cut, 0);
+            assert_eq!(old.drain().await.cut_off, 0);
         }
         fleet.wait_ready().await.unwrap();
         for (text, call) in streams {
--- a/crates/ringbendd/src/app.rs
+++ b/crates/ringbendd/src/app.rs
@@ -46,7 +46,7 @@
     pub(crate) peers: Peers,
     pub(crate) phase: Cell<Phase>,
     /// Requests cut off by a second signal.
-    pub(crate) cut: Cell<usize>,
+    pub(crate) cut_off: Cell<usize>,
 }
 
 impl App {
--- a/crates/ringbendd/src/callers/life.rs
+++ b/crates/ringbendd/src/callers/life.rs
@@ -208,7 +208,7 @@
                 false
             }
             Signal::Finish(end) => self.finished(end, side).await,
-            Signal::Cut => {
+            Signal::CutOff => {
                 self.withdraw();
                 self.end(Outcome::Failed);
                 let run_state =
--- a/crates/ringbendd/src/decisions.rs
+++ b/crates/ringbendd/src/decisions.rs
@@ -38,7 +38,7 @@
     Dispatch(Dispatch),
     DropAttempt(AttemptId),
     Finish(RequestEnd),
-    Cut,
+    CutOff,
 }
 
 /// The policy, and who waits for its word.
@@ -116,9 +116,9 @@
     }
 
     /// Cuts every open request off.
-    pub(crate) fn cut_all(&self) -> usize {
+    pub(crate) fn cut_off_all(&self) -> usize {
         let requests = self.requests.borrow();
-        requests.values().filter(|tx| tx.send(Signal::Cut).is_ok()).count()
+        requests.values().filter(|tx| tx.send(Signal::CutOff).is_ok()).count()
     }
 
     pub(crate) fn has_endpoints(&self) -> bool {
--- a/crates/ringbendd/src/instance.rs
+++ b/crates/ringbendd/src/instance.rs
@@ -37,7 +37,7 @@
     callers: Server,
     admin: Server,
     peers_address: SocketAddr,
-    drain_asked: mpsc::UnboundedReceiver<()>,
+    drain_requested: mpsc::UnboundedReceiver<()>,
     polls: Vec<JoinHandle<()>>,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StopReport {
     /// Requests that were cut off.
-    pub cut: usize,
+    pub cut_off: usize,
 }
 
 impl Instance {
@@ -73,7 +73,7 @@
         if let Some(exports) = exports {
             tokio::task::spawn_local(post_exports(app.pooled.clone(), exports));
         }
-        let (drain, drain_asked) = mpsc::unbounded_channel();
+        let (drain, drain_requested) = mpsc::unbounded_channel();
         let callers = Rc::new(CallerApi::new(app.clone()));
         let callers = serve(app.cfg.callers_address, ServerConfig::default(), callers)
             .await
@@ -88,7 +88,7 @@
         Peers::start(&app, Rc::new(link));
         sweep::start(&app);
         let polls = start_polls(&app);
-        Ok(Self { app, callers, admin, peers_address, drain_asked, polls })
+        Ok(Self { app, callers, admin, peers_address, drain_requested, polls })
     }
 
     /// Where callers connect.
@@ -107,8 +107,8 @@
     }
 
     /// Resolves when an operator asks for a drain.
-    pub async fn drain_asked(&mut self) {
-        if self.drain_asked.recv().await.is_none() {
+    pub async fn drain_requested(&mut self) {
+        if self.drain_requested.recv().await.is_none() {
             std::future::pending::<()>().await;
         }
     }
@@ -128,10 +128,10 @@
         while app.decisions.open_requests() + app.claims.unsettled() > 0 && app.now() < until {
             actix_rt::time::sleep(DRAIN_LOOK).await;
         }
-        self.cut();
+        self.cut_off_requests();
         self.let_bytes_leave().await;
         self.stop_traces().await;
-        StopReport { cut: app.cut.get() }
+        StopReport { cut_off: app.cut_off.get() }
     }
 
     /// Answers have ended here; their last bytes leave with the connections, which close after
@@ -144,9 +144,9 @@
     }
 
     /// Cuts every open request off and counts them.
-    pub fn cut(&self) {
-        let cut = self.app.decisions.cut_all();
-        self.app.cut.set(self.app.cut.get() + cut);
+    pub fn cut_off_requests(&self) {
+        let cut = self.app.decisions.cut_off_all();
+        self.app.cut_off.set(self.app.cut_off.get() + cut);
         if cut > 0 {
             log::warn!(cut; "requests were cut off");
         }
@@ -206,7 +206,7 @@
         settings: SettingsSync::default(),
         peers: Peers::new(&cfg, peers_address, incarnation),
         phase: std::cell::Cell::new(Phase::Starting),
-        cut: std::cell::Cell::new(0),
+        cut_off: std::cell::Cell::new(0),
         pooled,
         metrics,
         tracing,
--- a/crates/ringbendd/src/main.rs
+++ b/crates/ringbendd/src/main.rs
@@ -26,7 +26,7 @@
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
     match actix_rt::System::new().block_on(run(args)) {
-        Ok(StopReport { cut: 0 }) => ExitCode::SUCCESS,
+        Ok(StopReport { cut_off: 0 }) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::from(CUT),
         Err(report) => {
             eprintln!("ringbendd: {report:?}");
@@ -56,20 +56,20 @@
     tokio::select! {
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
-        () = instance.drain_asked() => {}
+        () = instance.drain_requested() => {}
     }
     let drain = instance.drain();
     tokio::pin!(drain);
     loop {
         tokio::select! {
             report = &mut drain => {
-                log::info!(cut = report.cut; "stopped");
-                println!("stopped, {} requests cut off", report.cut);
+                log::info!(cut = report.cut_off; "stopped");
+                println!("stopped, {} requests cut off", report.cut_off);
                 return Ok(report);
             }
             // A second signal ends what runs now; the drain then counts what was cut.
-            _ = term.recv() => instance.cut(),
-            _ = interrupt.recv() => instance.cut(),
+            _ = term.recv() => instance.cut_off_requests(),
+            _ = interrupt.recv() => instance.cut_off_requests(),
         }
     }
 }
