--- a/crates/ringbend-relay/src/callers.rs
+++ b/crates/ringbend-relay/src/callers.rs
@@ -15,7 +15,7 @@
 use crate::fingerprint::FingerprintMaker;
 use crate::life::{Life, Origin, Terms};
 use crate::node::Node;
-use crate::ports::Call;
+use crate::ports::RequestMetadata;
 use crate::refusal::Refusal;
 
 /// How long a request waits for an instance that has just started. The first copies take some tens of
@@ -36,7 +36,7 @@
 impl Callers {
     async fn answer(&self, req: HttpRequest) -> HttpResponse {
         let arrived = self.node.clock.now();
-        let call = match self.node.dialect.call(req.head()) {
+        let call = match self.node.dialect.parse_request(req.head()) {
             Ok(call) => call,
             Err(e) => {
                 log::info!(target: "request", error:% = e; "head refused");
@@ -56,7 +56,7 @@
                 );
                 self.node.metrics.failure(code);
                 let mut res = refusal.answer(None);
-                self.node.dialect.own_answer(&call, res.headers_mut());
+                self.node.dialect.mark_local_response(&call, res.headers_mut());
                 res
             }
         };
@@ -74,7 +74,7 @@
     async fn serve(
         &self,
         mut req: HttpRequest,
-        call: &Call,
+        call: &RequestMetadata,
         arrived: Timestamp,
     ) -> Result<HttpResponse, Refusal> {
         if self.node.is_past_last_call() {
@@ -128,11 +128,12 @@
     fn admit(
         &self,
         req: &HttpRequest,
-        call: &Call,
+        call: &RequestMetadata,
         arrived: Timestamp,
     ) -> Result<Admitted, Refusal> {
         let head = req.head();
-        let arrival = Arrival { host: host(head), path: head.uri.path(), key: call.key.as_deref() };
+        let arrival =
+            Arrival { host: host(head), path: head.uri.path(), key: call.api_key.as_deref() };
         let bounds = self.node.cfg.borrow().bounds.gate();
         admit(&self.node.replica.borrow(), arrived, &bounds, arrival).map_err(Refusal::Denied)
     }
@@ -145,6 +146,6 @@
 }
 
 /// How long the caller waits; as long as the route allows when it does not say.
-fn patience(call: &Call) -> Duration {
-    call.patience.unwrap_or(Duration::MAX)
+fn patience(call: &RequestMetadata) -> Duration {
+    call.client_timeout.unwrap_or(Duration::MAX)
 }
--- a/crates/ringbend-relay/src/fetch.rs
+++ b/crates/ringbend-relay/src/fetch.rs
@@ -28,7 +28,7 @@
 use crate::copies::{ConfigCopy, EndpointCopy};
 use crate::exchange::{self, ExchangeError};
 use crate::node::Node;
-use crate::ports::{BadRow, Cursor};
+use crate::ports::{Cursor, InvalidRow};
 use crate::watch::Copy;
 
 /// Where the configuration is handed out.
@@ -272,7 +272,7 @@
     /// The peer has none to give now.
     Refused(StatusCode),
     /// The configuration cannot be decoded.
-    Config(BadRow),
+    Config(InvalidRow),
     /// The message, or a row of it, cannot be decoded.
     Copy(WireError),
 }
@@ -284,7 +284,7 @@
             Self::Exchange(e) => e.fmt(f),
             Self::Address(e) => write!(f, "bad address: {e}"),
             Self::Refused(status) => write!(f, "refused with status {status}"),
-            Self::Config(row) => write!(f, "configuration cannot be decoded: {}", row.why),
+            Self::Config(row) => write!(f, "configuration cannot be decoded: {}", row.reason),
             Self::Copy(e) => write!(f, "copy cannot be decoded: {e}"),
         }
     }
--- a/crates/ringbend-relay/src/joining.rs
+++ b/crates/ringbend-relay/src/joining.rs
@@ -10,7 +10,7 @@
 
 use crate::SourceError;
 use crate::node::Node;
-use crate::ports::{Presence, Present};
+use crate::ports::{InstanceRecord, InstanceRegistry};
 
 /// How often this instance asks the store for others until it has been told.
 const PRESENCE_RETRY: Duration = Duration::from_millis(700);
@@ -57,7 +57,7 @@
 }
 
 /// Finds other instances by their presence in the store, and writes this one's if it schedules.
-pub(crate) async fn join(node: Rc<Node>, presence: Rc<dyn Presence>, has_seeds: bool) {
+pub(crate) async fn join(node: Rc<Node>, registry: Rc<dyn InstanceRegistry>, has_seeds: bool) {
     if has_seeds {
         // Their answers come first; then presence need not be read.
         tokio::time::sleep(SEED_TIME).await;
@@ -65,7 +65,7 @@
     loop {
         // A call that hangs since the store was lost is not waited for once it is back.
         let joined = tokio::select! {
-            done = announce(&node, &*presence) => done,
+            done = announce(&node, &*registry) => done,
             () = node.store_regained.notified() => continue,
         };
         match joined {
@@ -98,14 +98,14 @@
 /// Only those that schedule need a row: whoever starts asks the best placed that have one, and hears
 /// of the others from them. An instance that was killed finds its own row and those of the others as
 /// they were, so one call is enough after a loss of all.
-async fn announce(node: &Rc<Node>, presence: &dyn Presence) -> Result<(), SourceError> {
+async fn announce(node: &Rc<Node>, registry: &dyn InstanceRegistry) -> Result<(), SourceError> {
     let Some(address) = node.peers_address() else { return Ok(()) };
     if !hears_home(node) {
-        read_rows(node, presence).await?;
+        read_rows(node, registry).await?;
         if node.rows.borrow().is_empty() {
             let wait = node.rng.borrow_mut().random_range(FIRST_ROW_WAIT_MS);
             tokio::time::sleep(Duration::from_millis(wait)).await;
-            read_rows(node, presence).await?;
+            read_rows(node, registry).await?;
         }
         take_up(node);
         greet_home(node).await;
@@ -116,20 +116,24 @@
     }
     let own = {
         let cfg = node.cfg.borrow();
-        Present { address, data_centre: Some(cfg.data_centre.clone()), capacity: cfg.capacity() }
+        InstanceRecord {
+            address,
+            data_centre: Some(cfg.data_centre.clone()),
+            capacity: cfg.capacity(),
+        }
     };
-    bounded(presence.announce(&own)).await?;
+    bounded(registry.register(&own)).await?;
     if !hears_home(node) {
         // Of two that start together, the later reader sees the other.
-        read_rows(node, presence).await?;
+        read_rows(node, registry).await?;
         greet_home(node).await;
         node.greet_elsewhere();
     }
     Ok(())
 }
 
-async fn read_rows(node: &Node, presence: &dyn Presence) -> Result<(), SourceError> {
-    let rows = bounded(presence.all()).await?;
+async fn read_rows(node: &Node, registry: &dyn InstanceRegistry) -> Result<(), SourceError> {
+    let rows = bounded(registry.list()).await?;
     log::info!(target: "peers", rows = rows.len(); "rows read");
     *node.rows.borrow_mut() = rows;
     Ok(())
@@ -179,16 +183,16 @@
     node.peers.borrow().home_schedulers(node.clock.now()).is_empty()
 }
 
-fn is_at(row: &Present, home: &DataCentre) -> bool {
+fn is_at(row: &InstanceRecord, home: &DataCentre) -> bool {
     row.data_centre.as_ref().is_none_or(|centre| centre == home)
 }
 
-fn standing(row: &Present) -> Standing {
+fn standing(row: &InstanceRecord) -> Standing {
     Standing::new(row.capacity, row.address)
 }
 
 /// The best placed first.
-fn best<'a>(rows: impl Iterator<Item = &'a Present>) -> Vec<SocketAddrV4> {
+fn best<'a>(rows: impl Iterator<Item = &'a InstanceRecord>) -> Vec<SocketAddrV4> {
     let mut all: Vec<Standing> = rows.map(standing).collect();
     all.sort();
     all.into_iter().map(|standing| standing.address()).collect()
@@ -205,7 +209,7 @@
     }
 }
 
-fn best_elsewhere(rows: &[Present], home: &DataCentre) -> Vec<SocketAddrV4> {
+fn best_elsewhere(rows: &[InstanceRecord], home: &DataCentre) -> Vec<SocketAddrV4> {
     let mut centres: Vec<&DataCentre> =
         rows.iter().filter_map(|row| row.data_centre.as_ref()).collect();
     centres.sort();
--- a/crates/ringbend-relay/src/keeping.rs
+++ b/crates/ringbend-relay/src/keeping.rs
@@ -13,7 +13,7 @@
 use ringbend_wire::{Message, Suspicion as ToldSuspicion, WireError, suspicion_of, told_suspicion};
 
 use crate::node::Node;
-use crate::ports::{KeptRow, SourceError};
+use crate::ports::{DurableRow, SourceError};
 
 /// How long an instance that starts serves nobody because it does not know the suspects. Longer than a slow
 /// store takes; one that is away must not keep callers from being served.
@@ -51,7 +51,7 @@
         wait_to_be_told(&node).await;
     }
     while !node.knows_suspects.get() {
-        match bounded(node.keeper.all()).await {
+        match bounded(node.durable_store.read_all()).await {
             Ok(rows) => {
                 rows.iter().for_each(|row| node.take_kept(row));
                 node.know_suspects("the store");
@@ -88,7 +88,7 @@
 
 impl Node {
     /// Takes in a row. Rows come in the order of their keys, so a request before its claims.
-    fn take_kept(&self, row: &KeptRow) {
+    fn take_kept(&self, row: &DurableRow) {
         let now = self.clock.now();
         if let Some((of, number)) = claim_of(&row.key) {
             self.quarantine.borrow_mut().tried(now, of, number);
@@ -112,8 +112,8 @@
                 let known = node.quarantine.borrow().of(of).filter(|s| s.is_grave()).cloned();
                 let Some(known) = known else { return };
                 let value = told_suspicion(&known).encode_to_vec().into();
-                let row = KeptRow { key: of.to_string().into(), value };
-                match bounded(node.keeper.keep(&row)).await {
+                let row = DurableRow { key: of.to_string().into(), value };
+                match bounded(node.durable_store.put(&row)).await {
                     Ok(()) => return,
                     Err(e) => {
                         log::info!(target: "suspects", fingerprint:% = of, error:% = e; "not kept")
@@ -139,7 +139,7 @@
             let claims = (1..=u8::MAX).take(MOST_CLAIMS).map(|number| claim_key(of, number));
             let keys: Vec<Arc<str>> =
                 std::iter::once(of.to_string().into()).chain(claims).collect();
-            if let Err(e) = bounded(node.keeper.remove(&keys)).await {
+            if let Err(e) = bounded(node.durable_store.delete(&keys)).await {
                 log::info!(target: "suspects", fingerprint:% = of, error:% = e; "row not removed");
             }
         });
@@ -151,8 +151,8 @@
         let Some(number) = due else { return false };
         // Whatever comes of the call, this instance does not ask for the same try again.
         self.quarantine.borrow_mut().tried(self.clock.now(), of, number);
-        let row = KeptRow { key: claim_key(of, number), value: Bytes::new() };
-        let claimed = bounded(self.keeper.claim(&row)).await;
+        let row = DurableRow { key: claim_key(of, number), value: Bytes::new() };
+        let claimed = bounded(self.durable_store.put_if_absent(&row)).await;
         log::info!(target: "suspects", fingerprint:% = of, number, claimed:?; "try");
         self.changed_suspect(of, true);
         claimed.unwrap_or(false)
--- a/crates/ringbend-relay/src/lib.rs
+++ b/crates/ringbend-relay/src/lib.rs
@@ -47,9 +47,10 @@
 
 pub use config::{BoundsConfig, ListenConfig, RelayConfig, RelayConfigError, StoreConfig};
 pub use ports::{
-    AnswerFacts, BadCall, BadRow, Batch, Call, ConfigDecoder, ConfigItem, ConfigSource, Cursor,
-    Dialect, EndpointSource, Helper, Keeper, KeptRow, MemoryOrder, OrderCall, Presence, Present,
-    Report, ReportCall, SendOrder, Source, SourceError,
+    Batch, ConfigDecoder, ConfigItem, ConfigSource, Cursor, Dialect, DurableRow, DurableStore,
+    EndpointSource, EngineReport, ForwardContext, InstanceRecord, InstanceRegistry,
+    InvalidRequestHead, InvalidRow, PrefillHelper, ReportRequest, RequestMetadata,
+    ReservationCommand, ReservationRequest, ResponseMetadata, Source, SourceError,
 };
 pub use relay::{Ports, Relay, RelayError};
-pub use stopping::Stopped;
+pub use stopping::StopSummary;
--- a/crates/ringbend-relay/src/life.rs
+++ b/crates/ringbend-relay/src/life.rs
@@ -19,7 +19,7 @@
 use crate::headers::copy_headers;
 use crate::node::{Node, Open};
 use crate::pacing::PauseCount;
-use crate::ports::Call;
+use crate::ports::RequestMetadata;
 use crate::refusal::Refusal;
 use crate::runs::{Began, Rest, Run};
 use crate::streams::Relayed;
@@ -43,7 +43,7 @@
 /// One request that was let in. Dropping it before its end means that the caller left.
 pub(crate) struct Life {
     pub(crate) node: Rc<Node>,
-    pub(crate) call: Call,
+    pub(crate) call: RequestMetadata,
     pub(crate) origin: Origin,
     pub(crate) terms: Terms,
     pub(crate) attempts: Attempts,
@@ -93,7 +93,7 @@
 impl Life {
     pub(crate) fn new(
         node: Rc<Node>,
-        call: Call,
+        call: RequestMetadata,
         origin: Origin,
         terms: Terms,
         attempts: Attempts,
@@ -241,7 +241,7 @@
         self.node.metrics.failure(refusal.code());
         self.log_end(refusal.code());
         let mut res = refusal.answer(self.hint);
-        self.node.dialect.own_answer(&self.call, res.headers_mut());
+        self.node.dialect.mark_local_response(&self.call, res.headers_mut());
         res
     }
 
--- a/crates/ringbend-relay/src/memory.rs
+++ b/crates/ringbend-relay/src/memory.rs
@@ -13,7 +13,7 @@
 use crate::exchange::{self, ExchangeError};
 use crate::fields::Word;
 use crate::node::Node;
-use crate::ports::MemoryOrder;
+use crate::ports::ReservationCommand;
 
 /// How long an engine may take to answer an order; it needs no slot for it.
 const ORDER_TIME: Duration = Duration::from_millis(500);
@@ -49,10 +49,9 @@
         let renewing = tokio::task::spawn_local(renew(node.clone(), places.clone()));
         let unused_until = node.clock.now() + UNUSED_TIME;
         let held = Self { node, places, renewing, unused_until };
-        let orders = held
-            .places
-            .iter()
-            .map(|place| order(&held.node, place.address, MemoryOrder::Hold(&place.ticket, HOLD)));
+        let orders = held.places.iter().map(|place| {
+            order(&held.node, place.address, ReservationCommand::Reserve(&place.ticket, HOLD))
+        });
         let answers = join_all(orders).await;
         let refused =
             held.places.iter().zip(answers).find(|(_, answer)| *answer != Some(OrderAnswer::Done));
@@ -74,9 +73,9 @@
         self.renewing.abort();
         let (node, places) = (self.node.clone(), self.places.clone());
         tokio::task::spawn_local(async move {
-            let orders = places
-                .iter()
-                .map(|place| order(&node, place.address, MemoryOrder::Release(&place.ticket)));
+            let orders = places.iter().map(|place| {
+                order(&node, place.address, ReservationCommand::Release(&place.ticket))
+            });
             join_all(orders).await;
         });
     }
@@ -85,9 +84,9 @@
 async fn renew(node: Rc<Node>, places: Rc<Vec<Place>>) {
     loop {
         tokio::time::sleep(RENEW).await;
-        let orders = places
-            .iter()
-            .map(|place| order(&node, place.address, MemoryOrder::Hold(&place.ticket, HOLD)));
+        let orders = places.iter().map(|place| {
+            order(&node, place.address, ReservationCommand::Reserve(&place.ticket, HOLD))
+        });
         join_all(orders).await;
     }
 }
@@ -96,11 +95,11 @@
 async fn order(
     node: &Rc<Node>,
     address: SocketAddrV4,
-    order: MemoryOrder<'_>,
+    order: ReservationCommand<'_>,
 ) -> Option<OrderAnswer> {
     let (word, ticket) = match &order {
-        MemoryOrder::Hold(ticket, _) => ("hold", *ticket),
-        MemoryOrder::Release(ticket) => ("release", *ticket),
+        ReservationCommand::Reserve(ticket, _) => ("hold", *ticket),
+        ReservationCommand::Release(ticket) => ("release", *ticket),
     };
     let answer = match tokio::time::timeout(ORDER_TIME, give(node, address, &order)).await {
         Ok(Ok(answer)) => Some(answer),
@@ -120,10 +119,10 @@
 async fn give(
     node: &Rc<Node>,
     address: SocketAddrV4,
-    order: &MemoryOrder<'_>,
+    order: &ReservationCommand<'_>,
 ) -> Result<OrderAnswer, ExchangeError> {
-    let call = node.dialect.order(order);
-    let (MemoryOrder::Hold(ticket, _) | MemoryOrder::Release(ticket)) = order;
+    let call = node.dialect.reservation_request(order);
+    let (ReservationCommand::Reserve(ticket, _) | ReservationCommand::Release(ticket)) = order;
     let endpoint = ticket.endpoint.clone();
     let known = node.directory.borrow().get(&endpoint).cloned();
     let asked = node.clock.now();
@@ -134,13 +133,13 @@
     head.set_connection_type(actix_http::ConnectionType::Close);
     let mut answer = exchange::send(&node.http, address, head, call.body).await?;
     let status = answer.head.status;
-    let facts = node.dialect.answer(status, &answer.head.headers);
-    if let Some(known) = known.filter(|_| !facts.is_foreign) {
+    let facts = node.dialect.parse_response(status, &answer.head.headers);
+    if let Some(known) = known.filter(|_| !facts.is_wrong_endpoint) {
         node.apply_signals(&known, asked, &facts.signals, WordIn::Order);
     }
     let body = answer.whole(MAX_ANSWER_BYTES).await?;
-    if let Some(start) = node.dialect.order_start(&body) {
+    if let Some(start) = node.dialect.parse_reservation_start(&body) {
         node.note_start(&endpoint, start);
     }
-    Ok(node.dialect.order_answer(status))
+    Ok(node.dialect.parse_reservation_response(status))
 }
--- a/crates/ringbend-relay/src/node.rs
+++ b/crates/ringbend-relay/src/node.rs
@@ -27,7 +27,7 @@
 use crate::keeping::LEARN_TIME;
 use crate::link::{Link, Signals};
 use crate::memory::HeldMemory;
-use crate::ports::{ConfigDecoder, Cursor, Dialect, Keeper, Present};
+use crate::ports::{ConfigDecoder, Cursor, Dialect, DurableStore, InstanceRecord};
 use crate::signals::LoggedSignals;
 
 /// One relay's state. It lives on one thread.
@@ -58,7 +58,7 @@
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) peers: RefCell<Peers>,
     /// Where instances listened when their rows were last read.
-    pub(crate) rows: RefCell<Vec<Present>>,
+    pub(crate) rows: RefCell<Vec<InstanceRecord>>,
     /// What other instances have not been told yet.
     pub(crate) outbox: RefCell<Outbox>,
     pub(crate) signals: Signals,
@@ -106,7 +106,7 @@
     pub(crate) held_news: Notify,
     /// Whether this instance knows what there was to know of suspects when it started.
     pub(crate) knows_suspects: Cell<bool>,
-    pub(crate) keeper: Rc<dyn Keeper>,
+    pub(crate) durable_store: Rc<dyn DurableStore>,
     /// Endpoints that were looked at as their connections broke.
     pub(crate) lookups: RefCell<Lookups>,
     /// The requests whose sends are open here.
@@ -133,7 +133,7 @@
         clock: Clock,
         dialect: Rc<dyn Dialect>,
         decoder: Rc<dyn ConfigDecoder>,
-        keeper: Rc<dyn Keeper>,
+        durable_store: Rc<dyn DurableStore>,
     ) -> Rc<Self> {
         let incarnation = rand::random();
         let budget = RepeatBudget::new(cfg.bounds.budget());
@@ -184,7 +184,7 @@
             quarantine: RefCell::default(),
             held_news: Notify::new(),
             knows_suspects: Cell::new(false),
-            keeper,
+            durable_store,
             lookups: RefCell::default(),
             sends: RefCell::default(),
             metrics: Metrics::default(),
--- a/crates/ringbend-relay/src/pacing.rs
+++ b/crates/ringbend-relay/src/pacing.rs
@@ -18,7 +18,7 @@
 use crate::exchange::{self, ExchangeError};
 use crate::life::Life;
 use crate::node::Node;
-use crate::ports::Report;
+use crate::ports::EngineReport;
 
 /// How long an engine may take to say how it is; it needs no slot for it. One that takes longer does
 /// not serve requests in time either.
@@ -130,8 +130,8 @@
     fn note_report(
         &self,
         engine: &EndpointId,
-        answer: Option<Result<Option<Report>, ExchangeError>>,
-    ) -> Option<Report> {
+        answer: Option<Result<Option<EngineReport>, ExchangeError>>,
+    ) -> Option<EngineReport> {
         let report = match answer {
             Some(Ok(report)) => report?,
             failed => {
@@ -195,12 +195,12 @@
         self.limits.borrow().known(engine).is_some_and(|known| known.rate.is_some())
     }
 
-    async fn report(&self, engine: &EndpointId) -> Result<Option<Report>, ExchangeError> {
+    async fn report(&self, engine: &EndpointId) -> Result<Option<EngineReport>, ExchangeError> {
         let Some(endpoint) = self.directory.borrow().get(engine).cloned() else { return Ok(None) };
         if self.admission(&endpoint).is_err() {
             return Ok(None);
         }
-        let call = self.dialect.report(engine);
+        let call = self.dialect.report_request(engine);
         let mut head = RequestHead::default();
         head.method = Method::GET;
         head.uri = Uri::from_static(call.path);
@@ -209,12 +209,12 @@
         let asked = self.clock.now();
         let mut answer = exchange::send(&self.http, endpoint.address, head, Bytes::new()).await?;
         let status = answer.head.status;
-        let facts = self.dialect.answer(status, &answer.head.headers);
-        if !facts.is_foreign {
+        let facts = self.dialect.parse_response(status, &answer.head.headers);
+        if !facts.is_wrong_endpoint {
             self.apply_signals(&endpoint, asked, &facts.signals, WordIn::Report);
         }
         let body = answer.whole(MAX_REPORT_BYTES).await?;
-        Ok(self.dialect.report_answer(status, &body))
+        Ok(self.dialect.parse_report(status, &body))
     }
 }
 
--- a/crates/ringbend-relay/src/ports.rs
+++ b/crates/ringbend-relay/src/ports.rs
@@ -1,4 +1,4 @@
-//! What the relay asks of the world around it; an adapter implements these.
+//! Interfaces that the relay needs from its environment; an adapter implements them.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -16,189 +16,189 @@
 use ringbend_types::{ClientAccountId, DataCentre, EndpointId, EndpointStart};
 use smallvec::SmallVec;
 
-/// What a caller's head says, beside method and path.
+/// The headers of a caller's request that the relay interprets.
 #[derive(Debug, Clone, Default)]
-pub struct Call {
-    /// The caller's id of this request; endpoints echo it.
+pub struct RequestMetadata {
+    /// The request id chosen by the caller; endpoints echo it in their responses.
     pub request_id: Option<Arc<str>>,
-    /// The caller's key.
-    pub key: Option<Arc<str>>,
-    /// How long the caller waits.
-    pub patience: Option<Duration>,
-    /// The event after which a stream is to be continued.
-    pub last_event: Option<EventId>,
-    /// What the request asks of an engine; none for plain requests.
+    /// The caller's API key.
+    pub api_key: Option<Arc<str>>,
+    /// How long the caller waits for the response.
+    pub client_timeout: Option<Duration>,
+    /// The last event the caller received of a stream that is to be resumed.
+    pub last_event_id: Option<EventId>,
+    /// Tokens that the request needs from an engine; `None` for requests that do not run on an engine.
     pub demand: Option<Demand>,
 }
 
-/// A head holds a value that cannot be read.
+/// A request header has a value that cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadCall {
-    /// Which value.
-    pub what: &'static str,
+pub struct InvalidRequestHead {
+    /// Description of the header.
+    pub field: &'static str,
 }
 
-impl fmt::Display for BadCall {
+impl fmt::Display for InvalidRequestHead {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the request's {} cannot be read", self.what)
+        write!(f, "invalid {} in the request headers", self.field)
     }
 }
 
-impl std::error::Error for BadCall {}
+impl std::error::Error for InvalidRequestHead {}
 
-/// An engine that helps to read a prompt.
+/// An engine that prefills part of a prompt for the lead engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Helper {
-    /// Where it listens.
+pub struct PrefillHelper {
+    /// The address on which it accepts requests.
     pub address: SocketAddrV4,
-    /// The memory that it holds for the prompt.
+    /// Its memory reservation for the prompt, if any.
     pub ticket: Option<TicketId>,
 }
 
-/// What an engine is asked about its memory.
+/// A command on an engine's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MemoryOrder<'a> {
-    /// Hold it, or go on holding it, for so long from now.
-    Hold(&'a Ticket, Duration),
-    /// Let it go.
+pub enum ReservationCommand<'a> {
+    /// Reserve the memory, or renew the reservation, for this time from now.
+    Reserve(&'a Ticket, Duration),
+    /// Release the reservation.
     Release(&'a Ticket),
 }
 
-/// An order as the engine takes it.
+/// The HTTP request of a [`ReservationCommand`]; it is sent as a POST.
 #[derive(Debug, Clone)]
-pub struct OrderCall {
-    /// The path that it is posted to.
+pub struct ReservationRequest {
+    /// The request path.
     pub path: &'static str,
-    /// Its headers.
+    /// The request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// What is told to the endpoint beside what the caller sent.
+/// What the endpoint is told in addition to the caller's own headers.
 #[derive(Debug, Clone)]
-pub struct SendOrder {
-    /// The endpoint that is meant; another one at its address refuses.
+pub struct ForwardContext {
+    /// The endpoint that the request is for; another endpoint at the same address refuses it.
     pub endpoint: EndpointId,
-    /// The account that the caller's key belongs to.
+    /// The client account of the caller's key.
     pub account: Option<ClientAccountId>,
-    /// How long the endpoint may take.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// The event after which to go on.
-    pub last_event: Option<EventId>,
-    /// Engines that help to read the prompt.
-    pub helpers: SmallVec<[Helper; 4]>,
-    /// Rank among the requests of the endpoint; zero goes first, none where it has no ranks.
+    /// The event after which the stream is resumed.
+    pub last_event_id: Option<EventId>,
+    /// Engines that prefill part of the prompt.
+    pub helpers: SmallVec<[PrefillHelper; 4]>,
+    /// Priority in the endpoint's queue, where zero is served first; `None` if the endpoint has no priorities.
     pub priority: Option<u8>,
 }
 
-/// What an endpoint's head says, beside its status.
+/// The headers of an endpoint's response that the relay interprets.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
-    /// The request id that it answers.
+pub struct ResponseMetadata {
+    /// The id of the request that this is the response to.
     pub request_id: Option<Arc<str>>,
-    /// It states that the request was not run.
+    /// Whether the endpoint states that the request was not run.
     pub not_run: bool,
-    /// Whether another endpoint than the one that was meant answered at its address.
-    pub is_foreign: bool,
-    /// The engine that was at fault, where another than the one that answers.
-    pub at_fault: Option<SocketAddrV4>,
-    /// What it signals about itself.
+    /// Whether the response comes from another endpoint than the expected one, at the same address.
+    pub is_wrong_endpoint: bool,
+    /// The engine that failed, if it is not the one that responds.
+    pub faulty_engine: Option<SocketAddrV4>,
+    /// The endpoint's signals about its own state.
     pub signals: EndpointSignals,
 }
 
-/// A question to an engine, ready to be sent.
+/// The HTTP request for an engine's report; it is sent as a GET.
 #[derive(Debug)]
-pub struct ReportCall {
-    /// Where it is asked.
+pub struct ReportRequest {
+    /// The request path.
     pub path: &'static str,
-    /// The headers.
+    /// The request headers.
     pub headers: HeaderMap,
 }
 
-/// What an engine says of itself.
+/// An engine's report about itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Report {
-    /// How much slower than configured it is.
+pub struct EngineReport {
+    /// How much slower than configured the engine is.
     pub pace: Pace,
-    /// When its process started, if it tells.
+    /// The start of the engine's process, if reported.
     pub start: Option<EndpointStart>,
 }
 
-/// Reads and writes heads in the words that callers and endpoints use.
+/// Maps the relay's requests and responses to the headers, paths and bodies that callers and endpoints use.
 pub trait Dialect {
-    /// Reads a caller's head.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// A value cannot be read.
-    fn call(&self, head: &RequestHead) -> Result<Call, BadCall>;
+    /// A header has an invalid value.
+    fn parse_request(&self, head: &RequestHead) -> Result<RequestMetadata, InvalidRequestHead>;
 
-    /// Turns the caller's headers into those that the endpoint gets.
-    fn forward(&self, order: &SendOrder, headers: &mut HeaderMap);
+    /// Rewrites the caller's headers into those sent to the endpoint.
+    fn set_forward_headers(&self, context: &ForwardContext, headers: &mut HeaderMap);
 
-    /// Reads an endpoint's head.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    /// Parses the head of an endpoint's response.
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
-    /// Writes an order on an engine's memory.
-    fn order(&self, order: &MemoryOrder<'_>) -> OrderCall;
+    /// Builds the request that reserves or releases memory on an engine.
+    fn reservation_request(&self, command: &ReservationCommand<'_>) -> ReservationRequest;
 
-    /// Reads what an engine says to an order.
-    fn order_answer(&self, status: StatusCode) -> OrderAnswer;
+    /// Interprets the status of an engine's response to a reservation request.
+    fn parse_reservation_response(&self, status: StatusCode) -> OrderAnswer;
 
-    /// When the engine's process started, as the body of its answer to an order tells.
-    fn order_start(&self, body: &[u8]) -> Option<EndpointStart>;
+    /// The start of the engine's process, if the body of its response to a reservation request states it.
+    fn parse_reservation_start(&self, body: &[u8]) -> Option<EndpointStart>;
 
-    /// Asks an engine how it is.
-    fn report(&self, engine: &EndpointId) -> ReportCall;
+    /// Builds the request for an engine's report.
+    fn report_request(&self, engine: &EndpointId) -> ReportRequest;
 
-    /// Reads an engine's answer to that; none if it is no report.
-    fn report_answer(&self, status: StatusCode, body: &[u8]) -> Option<Report>;
+    /// Parses an engine's report; `None` if the response is not a valid report.
+    fn parse_report(&self, status: StatusCode, body: &[u8]) -> Option<EngineReport>;
 
-    /// Marks an answer that the relay makes itself.
-    fn own_answer(&self, call: &Call, headers: &mut HeaderMap);
+    /// Adds the caller's request id to a response that the relay generates itself.
+    fn mark_local_response(&self, request: &RequestMetadata, headers: &mut HeaderMap);
 }
 
-/// A place in a watched table's history.
+/// A position in a watched table's change history.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cursor(pub u64);
 
-/// A row that cannot be decoded; the rows beside it still count.
+/// A row that cannot be decoded; the other rows of its batch remain valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadRow {
-    /// Its key.
+pub struct InvalidRow {
+    /// The row's key.
     pub key: Arc<str>,
-    /// What is wrong with it.
-    pub why: Arc<str>,
+    /// The decoding error.
+    pub reason: Arc<str>,
 }
 
-/// One answer of a watched table.
+/// One response of a watched table.
 #[derive(Debug, Clone)]
 pub struct Batch<T> {
-    /// What it holds, or what has changed, in order.
+    /// The table's content, or its changes in order.
     pub items: Vec<T>,
     /// Rows that could not be decoded.
-    pub bad: Vec<BadRow>,
-    /// Where to go on.
+    pub invalid_rows: Vec<InvalidRow>,
+    /// The position from which the next call continues.
     pub cursor: Cursor,
-    /// Whether nothing that the source had was left out; else it is asked again at once.
-    pub is_whole: bool,
-    /// The store's steady clock as it made the answer.
+    /// Whether the batch holds everything that the source had; otherwise the source is read again at once.
+    pub is_complete: bool,
+    /// The store's monotonic clock when it built the response.
     pub store_clock: Duration,
 }
 
-/// Why a watched table gave no answer.
+/// Why a read of a watched table failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceError {
-    /// No connection, or it broke.
+    /// The connection failed or broke.
     Unreachable,
-    /// The store refused, with this status.
+    /// The store refused the call with this status.
     Refused(u16),
-    /// The history that was asked for is gone; read everything again.
+    /// The requested part of the history no longer exists; the whole table has to be read again.
     HistoryGone,
-    /// The answer cannot be decoded.
+    /// The response cannot be decoded.
     Malformed,
-    /// No answer in time.
+    /// No response within the timeout.
     TimedOut,
 }
 
@@ -207,96 +207,96 @@
         match self {
             Self::Unreachable => write!(f, "unreachable"),
             Self::Refused(status) => write!(f, "refused with status {status}"),
-            Self::HistoryGone => write!(f, "the history is gone"),
-            Self::Malformed => write!(f, "malformed answer"),
-            Self::TimedOut => write!(f, "no answer in time"),
+            Self::HistoryGone => write!(f, "change history no longer available"),
+            Self::Malformed => write!(f, "malformed response"),
+            Self::TimedOut => write!(f, "timed out"),
         }
     }
 }
 
 impl std::error::Error for SourceError {}
 
-/// A table that can be read whole and watched for changes.
+/// A table that can be read as a whole and watched for changes.
 #[async_trait(?Send)]
 pub trait Source<Whole, Change> {
-    /// Reads everything.
+    /// Reads the whole table.
     async fn read_all(&self) -> Result<Batch<Whole>, SourceError>;
 
-    /// Reads what has changed since `after`, waiting at most `wait` for a first change.
+    /// Long-polls for changes after `after`: waits at most `wait` for the first one.
     async fn changes(&self, after: Cursor, wait: Duration) -> Result<Batch<Change>, SourceError>;
 }
 
-/// A configuration as its table holds it, and decoded.
+/// A configuration, encoded as in its table and decoded.
 #[derive(Debug, Clone)]
 pub struct ConfigItem {
-    /// The bytes that other instances are handed.
+    /// The encoded row, which is served to other instances.
     pub raw: Bytes,
-    /// What they hold.
+    /// The decoded content.
     pub parts: SnapshotParts,
 }
 
-/// Decodes a configuration that another instance read.
+/// Decodes a configuration that was fetched from another instance.
 pub trait ConfigDecoder {
-    /// Decodes the bytes of the table's row.
+    /// Decodes a row of the configuration table.
     ///
     /// # Errors
     ///
-    /// They are no configuration.
-    fn decode(&self, raw: Bytes) -> Result<ConfigItem, BadRow>;
+    /// The bytes are not a valid configuration.
+    fn decode(&self, raw: Bytes) -> Result<ConfigItem, InvalidRow>;
 }
 
-/// The configuration's table.
+/// The configuration table.
 pub type ConfigSource = dyn Source<ConfigItem, ConfigItem>;
 
-/// The endpoints' table.
+/// The table of registered endpoints.
 pub type EndpointSource = dyn Source<Endpoint, EndpointChange>;
 
-/// Where an instance listens for others, and what it is.
+/// An instance's entry in the registry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Present {
-    /// Where it listens for others.
+pub struct InstanceRecord {
+    /// The address on which the instance accepts peer traffic.
     pub address: SocketAddrV4,
-    /// Where it runs, if that is known.
+    /// The instance's data centre, if known.
     pub data_centre: Option<DataCentre>,
-    /// The processor time that it may use, in thousandths of a core; zero if that is not known.
+    /// The processor time available to the instance, in thousandths of a core; zero if unknown.
     pub capacity: u32,
 }
 
-/// Where instances find each other.
+/// Registry through which instances discover each other.
 #[async_trait(?Send)]
-pub trait Presence {
-    /// Writes where this instance listens for others. Writing it again changes nothing.
-    async fn announce(&self, own: &Present) -> Result<(), SourceError>;
+pub trait InstanceRegistry {
+    /// Writes this instance's entry. The call is idempotent.
+    async fn register(&self, own: &InstanceRecord) -> Result<(), SourceError>;
 
-    /// Where instances listen, this one included; some may be gone.
-    async fn all(&self) -> Result<Vec<Present>, SourceError>;
+    /// Lists all entries, including this instance's own; some may belong to instances that no longer run.
+    async fn list(&self) -> Result<Vec<InstanceRecord>, SourceError>;
 
-    /// Removes what `announce` wrote.
-    async fn withdraw(&self) -> Result<(), SourceError>;
+    /// Removes this instance's entry.
+    async fn deregister(&self) -> Result<(), SourceError>;
 }
 
-/// A row that the instances keep for each other.
+/// A row of the [`DurableStore`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptRow {
-    /// Its key.
+pub struct DurableRow {
+    /// The row's key.
     pub key: Arc<str>,
-    /// What it holds; the relay's own bytes.
+    /// The value, in an encoding that only the relay interprets.
     pub value: Bytes,
 }
 
-/// Where what must outlast all instances is kept.
+/// Storage for data that must survive the end of all instances.
 #[async_trait(?Send)]
-pub trait Keeper {
-    /// All rows.
-    async fn all(&self) -> Result<Vec<KeptRow>, SourceError>;
+pub trait DurableStore {
+    /// Reads all rows.
+    async fn read_all(&self) -> Result<Vec<DurableRow>, SourceError>;
 
-    /// Writes a row, over one of that key.
-    async fn keep(&self, row: &KeptRow) -> Result<(), SourceError>;
+    /// Writes a row and overwrites an existing one with the same key.
+    async fn put(&self, row: &DurableRow) -> Result<(), SourceError>;
 
-    /// Removes rows; those that are not there are none.
-    async fn remove(&self, keys: &[Arc<str>]) -> Result<(), SourceError>;
+    /// Deletes rows; missing keys are ignored.
+    async fn delete(&self, keys: &[Arc<str>]) -> Result<(), SourceError>;
 
-    /// Writes a row unless one of its key is there. Whether this call has written it; a call whose answer
-    /// was lost counts as one that has not.
-    async fn claim(&self, row: &KeptRow) -> Result<bool, SourceError>;
+    /// Writes a row unless its key exists. Returns whether this call wrote it; a call whose response was
+    /// lost counts as one that did not.
+    async fn put_if_absent(&self, row: &DurableRow) -> Result<bool, SourceError>;
 }
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! Starts a relay, keeps its settings current and stops it.
+//! Starting a relay, reloading its settings and reading its state.
 
 use std::fmt;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -23,7 +23,8 @@
 use crate::link::Link;
 use crate::node::Node;
 use crate::ports::{
-    ConfigDecoder, ConfigItem, ConfigSource, Dialect, EndpointSource, Keeper, Presence,
+    ConfigDecoder, ConfigItem, ConfigSource, Dialect, DurableStore, EndpointSource,
+    InstanceRegistry,
 };
 use crate::telling::Teller;
 use crate::watch::Watch;
@@ -31,7 +32,7 @@
 /// Why a relay did not start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayError {
-    /// An address cannot be listened on.
+    /// The relay cannot listen on this address.
     Listen(SocketAddr),
 }
 
@@ -45,20 +46,20 @@
 
 impl std::error::Error for RelayError {}
 
-/// What an adapter brings.
+/// The interfaces that an adapter provides.
 pub struct Ports {
-    /// The words on the wire.
+    /// Headers, paths and bodies of requests and responses.
     pub dialect: Rc<dyn Dialect>,
-    /// The configuration's table.
+    /// The configuration table.
     pub config: Rc<ConfigSource>,
-    /// Decodes configurations that other instances read.
-    pub decoder: Rc<dyn ConfigDecoder>,
-    /// The endpoints' table.
+    /// Decodes configurations that were fetched from other instances.
+    pub config_decoder: Rc<dyn ConfigDecoder>,
+    /// The table of registered endpoints.
     pub endpoints: Rc<EndpointSource>,
-    /// Where other instances are found.
-    pub presence: Rc<dyn Presence>,
-    /// Where what must outlast all instances is kept.
-    pub keeper: Rc<dyn Keeper>,
+    /// Registry through which instances discover each other.
+    pub registry: Rc<dyn InstanceRegistry>,
+    /// Storage for data that must survive the end of all instances.
+    pub durable_store: Rc<dyn DurableStore>,
 }
 
 /// A running relay.
@@ -66,38 +67,38 @@
     pub(crate) node: Rc<Node>,
     pub(crate) servers: Vec<Server>,
     pub(crate) tasks: Vec<JoinHandle<()>>,
-    pub(crate) presence: Rc<dyn Presence>,
+    pub(crate) registry: Rc<dyn InstanceRegistry>,
 }
 
-/// Places in the list of servers.
+/// Indices into the list of servers.
 const CALLERS: usize = 0;
 const READY: usize = 1;
 const METRICS: usize = 2;
 
-/// How long callers' connections may be idle. Callers reuse them for less time than their own limit
-/// says, so this only has to lie above it.
+/// Idle timeout of callers' connections. Callers close idle connections after a shorter timeout of their own, so this
+/// one only has to be longer than theirs.
 const KEEP_ALIVE: Duration = Duration::from_secs(90);
 
-/// What this instance's clock shows at its start. Other instances tell when they proved a copy, which
-/// may be before this one started; a copy that was proved longer ago than this is of no use.
+/// Initial value of this instance's clock. Other instances report when they last verified a copy, which may be before
+/// this instance started; a copy that was verified longer ago than this is too old to be used.
 const CLOCK_AT_START: Timestamp = Timestamp(60_000_000);
 
 impl Relay {
-    /// Starts a relay on this thread.
+    /// Starts a relay on the current thread.
     ///
     /// # Errors
     ///
-    /// An address cannot be listened on.
+    /// The relay cannot listen on one of its addresses.
     pub async fn start(cfg: RelayConfig, ports: Ports) -> Result<Self, Report<RelayError>> {
         Self::start_at(cfg, ports, Clock::start_at(CLOCK_AT_START)).await
     }
 
-    /// The same by a clock that goes by what `read` tells, for tests of suspended machines.
+    /// Like [`Self::start`], with a clock that reads its time from `read`; used by tests of suspended machines.
     ///
     /// # Errors
     ///
-    /// An address cannot be listened on.
-    pub async fn start_by(
+    /// The relay cannot listen on one of its addresses.
+    pub async fn start_with_clock(
         cfg: RelayConfig,
         ports: Ports,
         read: fn() -> Duration,
@@ -113,7 +114,7 @@
         cfg.unknown.iter().for_each(|warning| log::warn!(target: "relay", "{warning}"));
         let listen = cfg.listen.clone();
         let seeds = cfg.listen.seeds.clone();
-        let node = Node::new(cfg, clock, ports.dialect, ports.decoder, ports.keeper);
+        let node = Node::new(cfg, clock, ports.dialect, ports.config_decoder, ports.durable_store);
         let mut servers = Vec::new();
         let callers = Rc::new(Callers { node: node.clone() });
         servers.push(open(listen.callers.into(), callers).await?);
@@ -142,92 +143,92 @@
             tasks.push(tokio::task::spawn_local(greet_seeds(node.clone(), seeds)));
             tasks.push(tokio::task::spawn_local(receive(node.clone())));
             tasks.push(tokio::task::spawn_local(Teller::new(node.clone()).run()));
-            let join = join(node.clone(), ports.presence.clone(), has_seeds);
+            let join = join(node.clone(), ports.registry.clone(), has_seeds);
             tasks.push(tokio::task::spawn_local(join));
         } else {
             node.joined.set(true);
         }
         let incarnation = node.incarnation();
         log::info!(target: "relay", incarnation, callers:% = listen.callers; "started");
-        Ok(Self { node, servers, tasks, presence: ports.presence })
+        Ok(Self { node, servers, tasks, registry: ports.registry })
     }
 
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn callers_address(&self) -> SocketAddr {
         self.servers[CALLERS].address()
     }
 
-    /// Where the balancer asks.
+    /// The address of the load balancer's readiness check.
     pub fn ready_address(&self) -> SocketAddr {
         self.servers[READY].address()
     }
 
-    /// Where metrics are served.
+    /// The address on which metrics are served, if any.
     pub fn metrics_address(&self) -> Option<SocketAddr> {
         self.servers.get(METRICS).map(Server::address)
     }
 
-    /// Where other instances reach this one.
+    /// The address on which this instance accepts peer traffic, if any.
     pub fn peers_address(&self) -> Option<SocketAddrV4> {
         self.node.peers_address()
     }
 
-    /// Whether new callers should come here.
+    /// Whether the load balancer should send new callers to this instance.
     pub fn is_ready(&self) -> bool {
         self.node.is_ready()
     }
 
-    /// The version of the configuration in force; zero before the first.
+    /// The version of the active configuration; zero if there is none yet.
     pub fn config_version(&self) -> u64 {
         self.node.replica.borrow().version().unwrap_or_default().0
     }
 
-    /// How many endpoints are registered, leaving ones included.
+    /// The number of registered endpoints, including those that are about to leave.
     pub fn endpoints(&self) -> usize {
         self.node.directory.borrow().len()
     }
 
-    /// How many registered endpoints are about to leave.
+    /// The number of registered endpoints that are about to leave.
     pub fn leaving_endpoints(&self) -> usize {
         self.node.directory.borrow().leaving()
     }
 
-    /// Whether this instance reads the watched tables itself.
-    pub fn reads(&self) -> bool {
+    /// Whether this instance reads the watched tables from the store itself.
+    pub fn reads_store(&self) -> bool {
         self.node.readers.borrow().reads()
     }
 
-    /// Whether this instance places requests for others of its data centre.
-    pub fn schedules(&self) -> bool {
+    /// Whether this instance is a scheduler, which places requests for other instances of its data centre.
+    pub fn is_scheduler(&self) -> bool {
         self.node.schedules()
     }
 
-    /// How many instances are known to be there, this one included.
-    pub fn instances(&self) -> usize {
+    /// The number of live instances that are known, including this one.
+    pub fn live_instances(&self) -> usize {
         self.node.peers.borrow().instances(self.node.clock.now())
     }
 
-    /// How many requests are known to be open on endpoints, those of other instances included.
-    pub fn known_work(&self) -> usize {
+    /// The number of requests known to be open on endpoints, including those of other instances.
+    pub fn known_open_requests(&self) -> usize {
         self.node.load.borrow().open_requests()
     }
 
-    /// How many requests are held because they end endpoints.
+    /// The number of requests that are held because they crash endpoints.
     pub fn held_requests(&self) -> usize {
         self.node.quarantine.borrow().held()
     }
 
-    /// How many requests are suspected of ending endpoints, those that are held included.
+    /// The number of requests suspected of crashing endpoints, including those that are held.
     pub fn known_suspects(&self) -> usize {
         self.node.quarantine.borrow().suspects()
     }
 
-    /// How many endpoints are known to name a limit.
+    /// The number of endpoints that are known to announce a rate limit.
     pub fn limited_endpoints(&self) -> usize {
         self.node.limits.borrow().len()
     }
 
-    /// Puts new settings in force. Addresses stay as they were at the start.
+    /// Reads the settings file again and applies it. Changed addresses take effect only after a restart.
     pub fn reload(&self, path: &Path) {
         match RelayConfig::read(path) {
             Ok(cfg) if cfg == *self.node.cfg.borrow() => {}
@@ -238,7 +239,7 @@
                 log::info!(target: "relay", path:? = path; "settings reloaded");
             }
             Err(e) => {
-                log::error!(target: "relay", path:? = path, error:? = e; "settings kept: new ones are bad");
+                log::error!(target: "relay", path:? = path, error:? = e; "invalid settings file; keeping the current settings");
             }
         }
     }
--- a/crates/ringbend-relay/src/runs.rs
+++ b/crates/ringbend-relay/src/runs.rs
@@ -24,7 +24,7 @@
 use crate::headers::clone_head;
 use crate::life::{Failed, Life};
 use crate::node::{Node, Placed};
-use crate::ports::AnswerFacts;
+use crate::ports::ResponseMetadata;
 use crate::scheduled::Scheduled;
 use crate::silence::Broken;
 use crate::streams::{Events, Relayed};
@@ -49,7 +49,7 @@
 /// An answer that has begun.
 pub(crate) struct Began {
     pub(crate) head: ResponseHead,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) facts: ResponseMetadata,
     pub(crate) rest: Rest,
 }
 
@@ -79,8 +79,10 @@
         let asked = node.clock.now();
         let answer = exchange::send(&node.http, endpoint.address, head, body).await?;
         let head = clone_head(&answer.head);
-        let facts = node.dialect.answer(head.status, &head.headers);
-        if !facts.is_foreign && (facts.request_id.is_none() || facts.request_id == request_id) {
+        let facts = node.dialect.parse_response(head.status, &head.headers);
+        if !facts.is_wrong_endpoint
+            && (facts.request_id.is_none() || facts.request_id == request_id)
+        {
             node.apply_signals(&endpoint, asked, &facts.signals, WordIn::Answer);
         }
         let is_own = !facts.not_run && facts.request_id == request_id;
@@ -122,7 +124,7 @@
             head,
             body: self.origin.body.clone(),
             request_id: self.call.request_id.clone(),
-            last_event: last_event.or(self.call.last_event),
+            last_event: last_event.or(self.call.last_event_id),
             streaming: self.terms.route.streaming,
         };
         let sent = self.node.clock.now();
--- a/crates/ringbend-relay/src/sending.rs
+++ b/crates/ringbend-relay/src/sending.rs
@@ -10,7 +10,7 @@
 use crate::headers::end_to_end;
 use crate::life::{Failed, Life};
 use crate::memory::HeldMemory;
-use crate::ports::{AnswerFacts, Helper, SendOrder};
+use crate::ports::{ForwardContext, PrefillHelper, ResponseMetadata};
 use crate::silence::Broken;
 
 impl Life {
@@ -18,15 +18,15 @@
     pub(crate) fn check(
         &mut self,
         endpoint: &Endpoint,
-        facts: &AnswerFacts,
+        facts: &ResponseMetadata,
         status: StatusCode,
     ) -> Result<(), Failed> {
         let (id, status) = (self.id(), status.as_u16());
         if facts.not_run {
             log::info!(target: "request", id, endpoint:% = endpoint.id, status; "not run");
-            match facts.at_fault.filter(|address| *address != endpoint.address) {
+            match facts.faulty_engine.filter(|address| *address != endpoint.address) {
                 Some(address) => self.distrust_address(address),
-                None if facts.is_foreign => self.distrust_foreign(&endpoint.id),
+                None if facts.is_wrong_endpoint => self.distrust_foreign(&endpoint.id),
                 // It takes no more for now than it has named, and is as good as before.
                 None if matches!(facts.signals.limit, LimitWord::Names(_)) => {}
                 None => self.trust(&endpoint.id, TrustEvent::Full),
@@ -115,18 +115,18 @@
         let helper = |id| {
             let address = directory.get(id)?.address;
             let ticket = memory.and_then(|memory| memory.ticket_at(address));
-            Some(Helper { address, ticket })
+            Some(PrefillHelper { address, ticket })
         };
         let helpers: SmallVec<_> = placement.helpers.iter().filter_map(helper).collect();
-        let order = SendOrder {
+        let order = ForwardContext {
             endpoint: endpoint.id.clone(),
             account: self.terms.account.as_ref().map(|a| a.id.clone()),
             time_left: self.attempts.left(self.node.clock.now()),
-            last_event: last_event.or(self.call.last_event),
+            last_event_id: last_event.or(self.call.last_event_id),
             helpers,
             priority: self.terms.service.engine.map(|_| self.rank()),
         };
-        self.node.dialect.forward(&order, &mut head.headers);
+        self.node.dialect.set_forward_headers(&order, &mut head.headers);
         head.set_connection_type(actix_http::ConnectionType::Close);
         head
     }
--- a/crates/ringbend-relay/src/stopping.rs
+++ b/crates/ringbend-relay/src/stopping.rs
@@ -39,11 +39,11 @@
 /// How often a stopping instance looks whether it is done.
 const STOP_STEP: Duration = Duration::from_millis(50);
 
-/// How many requests a stop cut off.
+/// The outcome of stopping a relay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Stopped {
-    /// Requests that had not ended.
-    pub cut: usize,
+pub struct StopSummary {
+    /// The number of requests that were aborted because they had not ended within the grace period.
+    pub unfinished: usize,
 }
 
 impl Node {
@@ -102,7 +102,7 @@
 
 impl Relay {
     /// Stops taking new callers, lets open requests end within the grace time, and returns.
-    pub async fn stop(self) -> Stopped {
+    pub async fn stop(self) -> StopSummary {
         let began = self.node.clock.now();
         self.node.stopping.set(Some(began));
         self.node.stop_begun.notify_waiters();
@@ -111,11 +111,11 @@
             tokio::time::sleep(STOP_STEP).await;
         }
         self.leave().await;
-        let cut = self.node.open.get();
+        let unfinished = self.node.open.get();
         self.tasks.iter().for_each(JoinHandle::abort);
         drop(self.servers);
-        log::info!(target: "relay", cut; "stopped");
-        Stopped { cut }
+        log::info!(target: "relay", cut = unfinished; "stopped");
+        StopSummary { unfinished }
     }
 
     fn is_done(&self, began: Timestamp) -> bool {
@@ -127,7 +127,7 @@
     /// Tells other instances, and whoever starts later, that this one is gone.
     async fn leave(&self) {
         self.node.bye();
-        match tokio::time::timeout(WITHDRAW_TIME, self.presence.withdraw()).await {
+        match tokio::time::timeout(WITHDRAW_TIME, self.registry.deregister()).await {
             Ok(Ok(())) => {}
             Ok(Err(e)) => log::info!(target: "peers", error:% = e; "presence not withdrawn"),
             Err(_) => {
--- a/crates/ringbend-relay/src/streams.rs
+++ b/crates/ringbend-relay/src/streams.rs
@@ -116,7 +116,7 @@
 async fn pass_on(life: &mut Life, relayed: Relayed, tx: &StreamReply) -> Result<(), Cut> {
     let Relayed { mut endpoint, mut placed, mut on, mut events, first, .. } = relayed;
     let Some(first) = first else { return Ok(()) };
-    let mut last = first.id.or(life.call.last_event);
+    let mut last = first.id.or(life.call.last_event_id);
     deliver(tx, first).await;
     life.passed_on(&endpoint.id);
     life.writes_since = Some(life.node.clock.now());
--- a/crates/ringbend-relay/src/watch.rs
+++ b/crates/ringbend-relay/src/watch.rs
@@ -9,7 +9,7 @@
 use ringbend_types::Timestamp;
 
 use crate::node::Node;
-use crate::ports::{BadRow, Cursor, Source, SourceError};
+use crate::ports::{Cursor, InvalidRow, Source, SourceError};
 
 /// How long the store may take beyond the time it was asked to wait. Its answers take some
 /// milliseconds; a slow store takes up to a third of a second.
@@ -102,7 +102,7 @@
                     self.answered();
                     let cursor = batch.cursor;
                     let proof = Proof { sent, store_clock: batch.store_clock };
-                    self.note_bad_rows(&batch.bad);
+                    self.note_bad_rows(&batch.invalid_rows);
                     let known = self.copy.known(&self.node);
                     self.copy.replace(&self.node, batch.items, cursor);
                     if self.is_latest(cursor, known) {
@@ -157,14 +157,14 @@
                     self.answered();
                     cursor = cursor.max(batch.cursor);
                     let proof = Proof { sent, store_clock: batch.store_clock };
-                    self.note_bad_rows(&batch.bad);
+                    self.note_bad_rows(&batch.invalid_rows);
                     let changed = !batch.items.is_empty();
                     let known = self.copy.known(&self.node);
                     self.copy.apply(&self.node, batch.items, batch.cursor);
-                    if batch.is_whole && self.is_latest(batch.cursor, known) {
+                    if batch.is_complete && self.is_latest(batch.cursor, known) {
                         self.prove(proof, batch.cursor, wait);
                     }
-                    if changed && batch.is_whole {
+                    if changed && batch.is_complete {
                         tokio::time::sleep(C::GATHER).await;
                     }
                 }
@@ -199,10 +199,10 @@
         self.copy.prove(&self.node, proof, wait.is_zero());
     }
 
-    fn note_bad_rows(&self, bad: &[BadRow]) {
+    fn note_bad_rows(&self, bad: &[InvalidRow]) {
         for row in bad {
             log::warn!(
-                target: "store", table = C::NAME, key:% = row.key, why:% = row.why; "row left out"
+                target: "store", table = C::NAME, key:% = row.key, why:% = row.reason; "row left out"
             );
             self.copy.bad_row(&self.node);
         }
