--- a/crates/ringbend-types/src/decimal.rs
+++ b/crates/ringbend-types/src/decimal.rs
@@ -1,26 +1,26 @@
-//! Non-negative decimal numbers in text.
+//! Parsing of non-negative decimal numbers.
 
 use std::fmt;
 
-/// Why a text is not a non-negative decimal number.
+/// The reason why a string is not a non-negative decimal number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ParseDecimalError {
-    /// Nothing is there.
+    /// The string is empty.
     Empty,
-    /// Longer than 64 bytes.
+    /// The string is longer than 64 bytes.
     TooLong,
-    /// No decimal number.
+    /// The string is not a decimal number.
     NotANumber,
-    /// Less than zero.
+    /// The number is negative.
     Negative,
-    /// Not a finite number.
+    /// The number is infinite or NaN.
     NotFinite,
 }
 
-/// The longest text that is parsed, in bytes.
+/// Longest input that is parsed, in bytes.
 const MAX_BYTES: usize = 64;
 
-/// Parses a finite number that is not negative.
+/// Parses a finite number that is zero or greater.
 pub(crate) fn parse_non_negative(text: &str) -> Result<f64, ParseDecimalError> {
     if text.is_empty() {
         return Err(ParseDecimalError::Empty);
@@ -43,8 +43,8 @@
         f.write_str(match self {
             Self::Empty => "empty",
             Self::TooLong => "longer than 64 bytes",
-            Self::NotANumber => "no decimal number",
-            Self::Negative => "less than zero",
+            Self::NotANumber => "not a decimal number",
+            Self::Negative => "negative number",
             Self::NotFinite => "not a finite number",
         })
     }
--- a/crates/ringbend-types/src/fingerprint.rs
+++ b/crates/ringbend-types/src/fingerprint.rs
@@ -1,17 +1,18 @@
-//! What is the same for the same request, whatever id its tries have.
+//! Request fingerprints, which identify a request across attempts with different ids.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Bytes of a fingerprint.
+/// Length of a fingerprint, in bytes.
 const BYTES: usize = 16;
 
-/// Tells whether two requests are the same: of one caller, to one address, with one body. Its bytes are
-/// those of a cryptographic digest, so that nobody can make up a request with another one's.
+/// Identifies a request by its caller, address and body. Two requests with equal fingerprints are the
+/// same request. The bytes come from a cryptographic digest, so that nobody can forge a request that
+/// has the fingerprint of another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint([u8; BYTES]);
 
-/// A text or some bytes are no fingerprint: 32 hexadecimal digits, or 16 bytes.
+/// The input is not a fingerprint, which is 32 hexadecimal digits or 16 bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseFingerprintError;
 
@@ -24,14 +25,14 @@
 impl std::error::Error for ParseFingerprintError {}
 
 impl Fingerprint {
-    /// The first bytes of a digest, which has as many at least.
+    /// Truncates a digest to the length of a fingerprint.
     pub fn from_digest(digest: &[u8; 32]) -> Self {
         let mut bytes = [0; BYTES];
         bytes.copy_from_slice(&digest[..BYTES]);
         Self(bytes)
     }
 
-    /// Its bytes.
+    /// The fingerprint as raw bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
--- a/crates/ringbend-types/src/lib.rs
+++ b/crates/ringbend-types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Identifiers, sizes, rates and time shared by every Ringbend crate.
+//! Identifiers, sizes, rates and times shared by all Ringbend crates.
 //!
-//! Nothing here does I/O or reads a clock: the driver passes a [`Timestamp`] and a seed in.
+//! Nothing here does I/O or reads a clock: callers pass in a [`Timestamp`] and a random seed.
 
 mod decimal;
 mod fingerprint;
--- a/crates/ringbend-types/src/quantity.rs
+++ b/crates/ringbend-types/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and counters as newtypes.
+//! Newtypes for sizes, rates and counters.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,7 +8,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Why a text is not a quantity.
+/// The string is not a quantity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseQuantityError(ParseIntError);
 
@@ -30,17 +30,17 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The sum, held at the largest value.
+            /// Adds two values, saturating at the maximum.
             pub fn saturating_add(self, other: Self) -> Self {
                 Self(self.0.saturating_add(other.0))
             }
 
-            /// The difference, held at zero.
+            /// Subtracts two values, saturating at zero.
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
 
-            /// The number after this one.
+            /// The value plus one, saturating at the maximum.
             pub fn next(self) -> Self {
                 self.saturating_add(Self(1))
             }
@@ -67,42 +67,44 @@
     TokenCount => " tok",
     /// A number of bytes.
     ByteCount => " B",
-    /// A rate of tokens.
+    /// A token rate, per second.
     TokensPerSecond => " tok/s",
-    /// The version of the settings tree; every accepted change raises it by one.
+    /// The version of the settings tree; each accepted change increments it by one.
     SettingsVersion => "",
-    /// Rises with each new holder of a lease; endpoints that check it refuse lower ones.
+    /// Increases with each new holder of a lease; endpoints that check it reject lower values.
     FencingToken => "",
-    /// Rises with each start of an instance and each time it refutes a suspicion.
+    /// Increases with each start of an instance and each time the instance refutes a suspicion.
     Incarnation => "",
-    /// When an endpoint's process started, as a Unix time in milliseconds by the endpoint's own clock.
+    /// Start time of an endpoint's process, in Unix milliseconds on the endpoint's own clock.
     EndpointStart => "",
 }
 
 impl TokensPerSecond {
-    /// How long `tokens` take at this rate; a zero rate counts as one token a second.
+    /// The time that `tokens` take at this rate. A rate of zero counts as one token per second.
     pub fn time_for(self, tokens: TokenCount) -> Duration {
         Duration::from_secs_f64(tokens.0 as f64 / self.0.max(1) as f64)
     }
 }
 
 impl Incarnation {
-    /// Bits below the time of the start: random ones, which refutations count up from.
+    /// Number of low bits below the start time. They start at a random value, which each refutation
+    /// increments.
     pub const RANDOM_BITS: u32 = 20;
 
-    /// The incarnation of a start at `unix_ms`; `random` makes starts within one millisecond differ.
+    /// The incarnation of a process that started at `unix_ms`. `random` distinguishes starts within the
+    /// same millisecond.
     pub fn from_start(unix_ms: u64, random: u64) -> Self {
         Self((unix_ms << Self::RANDOM_BITS) | (random & ((1 << Self::RANDOM_BITS) - 1)))
     }
 
-    /// When it started, in milliseconds since the Unix epoch. A refutation raises the incarnation
-    /// and leaves this as it is.
+    /// The start time, in milliseconds since the Unix epoch. A refutation increments the incarnation
+    /// but keeps the start time.
     pub fn started_unix_ms(self) -> u64 {
         self.0 >> Self::RANDOM_BITS
     }
 }
 
-/// Groups of prompt lengths by which time to first token is reported.
+/// Prompt length ranges by which the time to first token is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum PromptBucket {
     /// Up to 3,000 tokens.
@@ -120,11 +122,11 @@
 }
 
 impl PromptBucket {
-    /// All buckets, shortest first.
+    /// All buckets, in ascending order of length.
     pub const ALL: [Self; 4] =
         [Self::Thousand, Self::TenThousand, Self::HundredThousand, Self::Million];
 
-    /// The bucket of a prompt of `tokens`.
+    /// The bucket of a prompt with `tokens` tokens.
     pub fn of(tokens: TokenCount) -> Self {
         match tokens.0 {
             0..=3_000 => Self::Thousand,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// The label used in reports and metrics.
+    /// The label in reports and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Thousand => "1k",
--- a/crates/ringbend-types/src/request_rate.rs
+++ b/crates/ringbend-types/src/request_rate.rs
@@ -1,4 +1,4 @@
-//! How many requests a second something takes.
+//! Request rates.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,24 +6,24 @@
 
 use crate::decimal::{ParseDecimalError, parse_non_negative};
 
-/// A rate of requests, in millionths of a request a second.
+/// A request rate, in millionths of a request per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestRate(pub u64);
 
-const MILLIONTHS: f64 = 1e6;
+const MILLIONTHS_PER_REQUEST: f64 = 1e6;
 
 impl RequestRate {
-    /// A whole number of requests a second.
+    /// A rate of a whole number of requests per second.
     pub const fn per_second(requests: u64) -> Self {
         Self(requests * 1_000_000)
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn as_f64(self) -> f64 {
-        self.0 as f64 / MILLIONTHS
+        self.0 as f64 / MILLIONTHS_PER_REQUEST
     }
 
-    /// The requests that it allows in this time.
+    /// The number of requests that this rate allows within `time`.
     pub fn requests_in(self, time: Duration) -> f64 {
         self.as_f64() * time.as_secs_f64()
     }
@@ -32,11 +32,11 @@
 impl FromStr for RequestRate {
     type Err = ParseDecimalError;
 
-    /// Reads a decimal number; what lies below a millionth is left off.
+    /// Parses a decimal number, truncating it to millionths.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let number = parse_non_negative(text)?;
-        // Values above the largest integer are held at it.
-        Ok(Self((number * MILLIONTHS) as u64))
+        // The cast saturates at `u64::MAX`.
+        Ok(Self((number * MILLIONTHS_PER_REQUEST) as u64))
     }
 }
 
--- a/crates/ringbend-types/src/retry_after.rs
+++ b/crates/ringbend-types/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! The delay that the sender of a response asks for before the next request.
+//! The delay that a response asks for before the next request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,16 +6,16 @@
 
 use crate::decimal::{ParseDecimalError, parse_non_negative};
 
-/// A delay in seconds, as in the header of that name. HTTP dates are not supported: they would be read by a
-/// wall clock that may jump.
+/// A delay in seconds, as in the `Retry-After` header. HTTP dates are not supported, because they would
+/// have to be compared with a wall clock, which may jump.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryAfter(Duration);
 
 impl RetryAfter {
-    /// Longer delays are cut to this, so that a wrong value does not exclude an endpoint for good.
+    /// Upper bound of a delay, so that a wrong value does not exclude an endpoint forever.
     pub const MAX: Duration = Duration::from_secs(3_600);
 
-    /// A delay of this length, at most [`Self::MAX`].
+    /// A delay of the given length, capped at [`Self::MAX`].
     pub fn new(delay: Duration) -> Self {
         Self(delay.min(Self::MAX))
     }
--- a/crates/ringbend-types/src/run_state.rs
+++ b/crates/ringbend-types/src/run_state.rs
@@ -1,24 +1,24 @@
-//! What a caller is told about whether its request was run.
+//! Tells a caller whether its request was run.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request that did not end in a whole answer was run by an endpoint.
+/// Whether an endpoint ran a request that did not get a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// Certainly not run: safe to send again.
+    /// The request was not run and is safe to retry.
     NotRun,
-    /// Bytes reached an endpoint and no definite word came back.
+    /// The request reached an endpoint, but its outcome is unknown.
     MayHaveRun,
-    /// An endpoint ran it and it failed.
+    /// An endpoint ran the request, and it failed.
     Failed,
 }
 
 impl RunState {
-    /// The word used in headers and error bodies.
+    /// The value used in headers and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -34,7 +34,7 @@
     }
 }
 
-/// The text is none of the three words.
+/// The string is not one of the three run states.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseRunStateError;
 
--- a/crates/ringbend-types/src/seed.rs
+++ b/crates/ringbend-types/src/seed.rs
@@ -1,16 +1,17 @@
-//! Seeds for random numbers and the mint of never-reused ids.
+//! Seeds for random numbers, and the generator of unique ids.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
 use crate::{AttemptId, Incarnation, RequestId};
 
-/// The seed of every random decision in one process.
+/// The seed of all random decisions in one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Seed(pub u64);
 
 impl Seed {
-    /// A generator for the part named by `stream`; parts do not disturb each other's sequence.
+    /// A random number generator for the component with the stream number `stream`. Streams are
+    /// independent of each other.
     pub fn rng(self, stream: u64) -> ChaCha8Rng {
         let mut rng = ChaCha8Rng::seed_from_u64(self.0);
         rng.set_stream(stream);
@@ -18,7 +19,7 @@
     }
 }
 
-/// Mints request and attempt ids that are unique to one incarnation of one instance.
+/// Generates request and attempt ids that are unique to one incarnation of one instance.
 #[derive(Debug, Clone)]
 pub struct IdGenerator {
     incarnation: u64,
@@ -26,7 +27,7 @@
 }
 
 impl IdGenerator {
-    /// A mint for `incarnation`, which must be unique over all instances and starts.
+    /// Creates a generator for `incarnation`, which must be unique across all instances and restarts.
     pub fn new(incarnation: Incarnation) -> Self {
         Self { incarnation: incarnation.0, sequence: 0 }
     }
--- a/crates/ringbend-types/src/time.rs
+++ b/crates/ringbend-types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decision crates see it.
+//! Timestamps for code that does not read a clock itself.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds on the driver's monotonic clock. Comparable within one process only.
+/// Microseconds on the process's monotonic clock. Timestamps of different processes are not comparable.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,7 +14,7 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// The latest time that can be told; stands for "never".
+    /// The latest representable time, used as "never".
     pub const NEVER: Self = Self(u64::MAX);
 
     /// The time `millis` after the clock's start.
@@ -22,7 +22,7 @@
         Self(millis * 1_000)
     }
 
-    /// How long ago `earlier` was; zero when it lies ahead.
+    /// The time elapsed since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
