--- a/crates/ringbend-wire/examples/generate.rs
+++ b/crates/ringbend-wire/examples/generate.rs
@@ -1,4 +1,6 @@
-//! Writes `src/generated.rs` from `proto/peer.proto`: `cargo run -p ringbend-wire --example generate`.
+//! Generates `src/generated.rs` from `proto/peer.proto`.
+//!
+//! Usage: `cargo run -p ringbend-wire --example generate`.
 
 use std::path::Path;
 
--- a/crates/ringbend-wire/src/convert.rs
+++ b/crates/ringbend-wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between generated messages and the types of the decision crates.
+//! Conversions between generated messages and the types of membership, quota and settings.
 
 use std::fmt;
 use std::net::AddrParseError;
@@ -10,20 +10,20 @@
 
 use crate::generated as wire;
 
-/// Why a message of a peer is not understood.
+/// The reason why a message from a peer cannot be decoded.
 #[derive(Debug)]
 pub enum WireError {
     /// An identifier is malformed.
     Id(ParseIdError),
     /// An address is malformed.
     Address(AddrParseError),
-    /// An enum has a number this release does not know.
+    /// An enum value is unknown to this release.
     UnknownEnumValue(i32),
-    /// A required part is missing.
+    /// A required field is missing.
     MissingField(&'static str),
-    /// A settings entry or snapshot does not parse.
+    /// A settings log entry or snapshot is malformed.
     Settings(serde_json::Error),
-    /// The bytes are not a message.
+    /// The bytes are not a valid Protobuf message.
     Decode(prost::DecodeError),
     /// A fingerprint is malformed.
     Fingerprint(ParseFingerprintError),
@@ -32,13 +32,13 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Id(e) => write!(f, "identifier: {e}"),
-            Self::Address(e) => write!(f, "address: {e}"),
-            Self::UnknownEnumValue(n) => write!(f, "unknown enum number {n}"),
-            Self::MissingField(part) => write!(f, "{part} is missing"),
-            Self::Settings(e) => write!(f, "settings: {e}"),
-            Self::Decode(e) => write!(f, "not a message: {e}"),
-            Self::Fingerprint(e) => write!(f, "fingerprint: {e}"),
+            Self::Id(e) => write!(f, "invalid identifier: {e}"),
+            Self::Address(e) => write!(f, "invalid address: {e}"),
+            Self::UnknownEnumValue(n) => write!(f, "unknown enum value {n}"),
+            Self::MissingField(field) => write!(f, "missing field {field}"),
+            Self::Settings(e) => write!(f, "invalid settings: {e}"),
+            Self::Decode(e) => write!(f, "invalid message: {e}"),
+            Self::Fingerprint(e) => write!(f, "invalid fingerprint: {e}"),
         }
     }
 }
@@ -169,7 +169,7 @@
             wire::GossipKind::Join => gossip::MessageKind::Join,
             wire::GossipKind::News => gossip::MessageKind::News,
         };
-        // News of a kind that this release does not know is left out.
+        // Updates of a kind that this release does not know are skipped.
         let updates = message.updates.into_iter().filter(|u| u.news.is_some());
         Ok(Self {
             from: message.from.parse()?,
@@ -222,7 +222,8 @@
 }
 
 impl wire::EntriesReply {
-    /// What a replica has after `version`.
+    /// Creates a reply with what a replica has after `version`: log entries, or a snapshot if some of the
+    /// entries are no longer kept.
     pub fn from_replica(replica: &Replica, version: SettingsVersion) -> Self {
         let json = |entry: &LogEntry| serde_json::to_string(entry).unwrap_or_default();
         match replica.entries_after(version) {
@@ -236,11 +237,11 @@
         }
     }
 
-    /// Brings a replica up to what the reply holds.
+    /// Updates a replica with the content of this reply.
     ///
     /// # Errors
     ///
-    /// An entry or the snapshot does not parse; entries before it are applied.
+    /// Fails if an entry or the snapshot is malformed. Entries before it have been applied.
     pub fn apply_to(&self, replica: &mut Replica) -> Result<(), WireError> {
         if !self.snapshot.is_empty() {
             let snapshot: Snapshot =
--- a/crates/ringbend-wire/src/drains.rs
+++ b/crates/ringbend-wire/src/drains.rs
@@ -1,4 +1,4 @@
-//! Between announcements of draining endpoints as told to peers and the types that decide by them.
+//! Encoding of drain announcements of endpoints.
 
 use ringbend_gateway::Drain;
 use ringbend_types::EndpointStart;
@@ -6,7 +6,7 @@
 use crate::convert::WireError;
 use crate::generated::EndpointDrain;
 
-/// An announcement as told to peers.
+/// Encodes a drain announcement for peers.
 pub fn encode_drain(drain: &Drain) -> EndpointDrain {
     EndpointDrain {
         endpoint: drain.endpoint.to_string(),
@@ -14,11 +14,11 @@
     }
 }
 
-/// The same, as told by a peer.
+/// Decodes a drain announcement from a peer.
 ///
 /// # Errors
 ///
-/// The endpoint's id is malformed.
-pub fn decode_drain(told: &EndpointDrain) -> Result<Drain, WireError> {
-    Ok(Drain { endpoint: told.endpoint.parse()?, start: told.start_ms.map(EndpointStart) })
+/// Fails if the endpoint's id is malformed.
+pub fn decode_drain(drain: &EndpointDrain) -> Result<Drain, WireError> {
+    Ok(Drain { endpoint: drain.endpoint.parse()?, start: drain.start_ms.map(EndpointStart) })
 }
--- a/crates/ringbend-wire/src/endpoints.rs
+++ b/crates/ringbend-wire/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Between relayed rows of the endpoints' table and the directory's types.
+//! Encoding of changes and restarts of endpoints.
 
 use ringbend_gateway::{Endpoint, EndpointChange};
 use ringbend_types::{EndpointId, EndpointStart};
@@ -6,7 +6,7 @@
 use crate::convert::WireError;
 use crate::generated::{EndpointRestart, EndpointRow};
 
-/// A change as told to peers.
+/// Encodes a change of an endpoint for peers.
 pub fn encode_endpoint_change(change: &EndpointChange) -> EndpointRow {
     match change {
         EndpointChange::Gone(id) => {
@@ -15,25 +15,25 @@
         EndpointChange::Unreadable(id) => {
             EndpointRow { id: id.to_string(), unreadable: true, ..EndpointRow::default() }
         }
-        EndpointChange::Present(e) => EndpointRow {
-            id: e.id.to_string(),
+        EndpointChange::Present(endpoint) => EndpointRow {
+            id: endpoint.id.to_string(),
             gone: false,
             unreadable: false,
-            start_ms: e.start.map(|start| start.0),
-            service: e.service.to_string(),
-            address: e.address.to_string(),
-            data_centre: e.data_centre.to_string(),
-            slots: e.slots,
-            leaving: e.leaving,
+            start_ms: endpoint.start.map(|start| start.0),
+            service: endpoint.service.to_string(),
+            address: endpoint.address.to_string(),
+            data_centre: endpoint.data_centre.to_string(),
+            slots: endpoint.slots,
+            leaving: endpoint.leaving,
         },
     }
 }
 
-/// A change as told by a peer.
+/// Decodes a change of an endpoint from a peer.
 ///
 /// # Errors
 ///
-/// An id or an address is malformed.
+/// Fails if an id or the address is malformed.
 pub fn decode_endpoint_change(row: &EndpointRow) -> Result<EndpointChange, WireError> {
     let id = row.id.parse()?;
     if row.gone {
@@ -53,18 +53,18 @@
     }))
 }
 
-/// An endpoint that has started again, as told to peers.
+/// Encodes a restart of an endpoint for peers.
 pub fn encode_endpoint_restart(endpoint: &EndpointId, start: EndpointStart) -> EndpointRestart {
     EndpointRestart { endpoint: endpoint.to_string(), start_ms: start.0 }
 }
 
-/// An endpoint that has started again, as told by a peer.
+/// Decodes a restart of an endpoint from a peer.
 ///
 /// # Errors
 ///
-/// The endpoint's id is malformed.
+/// Fails if the endpoint's id is malformed.
 pub fn decode_endpoint_restart(
-    told: &EndpointRestart,
+    restart: &EndpointRestart,
 ) -> Result<(EndpointId, EndpointStart), WireError> {
-    Ok((told.endpoint.parse()?, EndpointStart(told.start_ms)))
+    Ok((restart.endpoint.parse()?, EndpointStart(restart.start_ms)))
 }
--- a/crates/ringbend-wire/src/limits.rs
+++ b/crates/ringbend-wire/src/limits.rs
@@ -1,4 +1,4 @@
-//! Between what instances tell of endpoints' limits and the types that decide by them.
+//! Encoding of the rate limits of endpoints.
 
 use ringbend_gateway::KnownLimit;
 use ringbend_types::{EndpointStart, RequestRate};
@@ -6,7 +6,7 @@
 use crate::convert::WireError;
 use crate::generated::EndpointLimit;
 
-/// What is known of an endpoint's limit, as told to peers.
+/// Encodes an endpoint's rate limit for peers.
 pub fn encode_limit(limit: &KnownLimit) -> EndpointLimit {
     EndpointLimit {
         endpoint: limit.endpoint.to_string(),
@@ -16,16 +16,16 @@
     }
 }
 
-/// The same, as told by a peer.
+/// Decodes an endpoint's rate limit from a peer.
 ///
 /// # Errors
 ///
-/// The endpoint's id is malformed.
-pub fn decode_limit(told: &EndpointLimit) -> Result<KnownLimit, WireError> {
+/// Fails if the endpoint's id is malformed.
+pub fn decode_limit(limit: &EndpointLimit) -> Result<KnownLimit, WireError> {
     Ok(KnownLimit {
-        endpoint: told.endpoint.parse()?,
-        start: told.start_ms.map(EndpointStart),
-        version: told.version,
-        rate: told.rate.map(RequestRate),
+        endpoint: limit.endpoint.parse()?,
+        start: limit.start_ms.map(EndpointStart),
+        version: limit.version,
+        rate: limit.rate.map(RequestRate),
     })
 }
--- a/crates/ringbend-wire/src/load.rs
+++ b/crates/ringbend-wire/src/load.rs
@@ -1,4 +1,4 @@
-//! Between load digests and the load book's types.
+//! Encoding of load digests, placement requests and their results.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     WaitingWork,
 };
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Work as told to peers at `now`.
+/// Encodes placed work for peers, with times relative to `now`.
 pub fn encode_placed_work(now: Timestamp, id: WorkId, work: &Work, writing: bool) -> PlacedWork {
     PlacedWork {
         sequence: id.sequence,
@@ -30,33 +30,33 @@
         left_ms: millis(work.until.since(now)),
         stake: work.stake,
         writing,
-        held: work.held.iter().map(held_memory).collect(),
+        held: work.held.iter().map(encode_held_memory).collect(),
         long: work.long,
-        suspect: suspect_bytes(work.suspect),
+        suspect: encode_suspect(work.suspect),
     }
 }
 
-fn suspect_bytes(suspect: Option<Fingerprint>) -> Vec<u8> {
+fn encode_suspect(suspect: Option<Fingerprint>) -> Vec<u8> {
     suspect.map_or_else(Vec::new, |suspect| suspect.as_bytes().to_vec())
 }
 
-fn suspect_of(bytes: &[u8]) -> Result<Option<Fingerprint>, ParseFingerprintError> {
+fn decode_suspect(bytes: &[u8]) -> Result<Option<Fingerprint>, ParseFingerprintError> {
     if bytes.is_empty() { Ok(None) } else { bytes.try_into().map(Some) }
 }
 
-fn held_memory(held: &HelperMemory) -> HeldMemory {
+fn encode_held_memory(held: &HelperMemory) -> HeldMemory {
     HeldMemory { endpoint: held.endpoint.to_string(), tokens: held.tokens }
 }
 
-fn held_of(held: &HeldMemory) -> Result<HelperMemory, ParseIdError> {
+fn decode_held_memory(held: &HeldMemory) -> Result<HelperMemory, ParseIdError> {
     Ok(HelperMemory { endpoint: held.endpoint.parse()?, tokens: held.tokens })
 }
 
-/// Work as told by a peer and received at `now`.
+/// Decodes placed work that was received from a peer at `now`.
 ///
 /// # Errors
 ///
-/// An endpoint's id is malformed.
+/// Fails if an endpoint's id or the fingerprint is malformed.
 pub fn decode_placed_work(now: Timestamp, placed: &PlacedWork) -> Result<Work, WireError> {
     let helpers = placed.helpers.iter().map(|id| id.parse());
     Ok(Work {
@@ -64,17 +64,17 @@
         helpers: helpers.collect::<Result<_, ParseIdError>>()?,
         part: Duration::from_micros(placed.part_us),
         memory_tokens: placed.memory_tokens,
-        held: placed.held.iter().map(held_of).collect::<Result<_, _>>()?,
+        held: placed.held.iter().map(decode_held_memory).collect::<Result<_, _>>()?,
         gap: Duration::from_millis(placed.gap_ms),
         first_by: now + Duration::from_millis(placed.first_in_ms),
         stake: placed.stake,
         until: now + Duration::from_millis(placed.left_ms),
         long: placed.long,
-        suspect: suspect_of(&placed.suspect)?,
+        suspect: decode_suspect(&placed.suspect)?,
     })
 }
 
-/// A long prompt that waits, as told to peers at `now`.
+/// Encodes a queued long prompt for peers, with times relative to `now`.
 pub fn encode_waiting_work(now: Timestamp, id: WorkId, waiting: &WaitingPrompt) -> WaitingWork {
     WaitingWork {
         sequence: id.sequence,
@@ -86,22 +86,25 @@
     }
 }
 
-/// A long prompt that waits, as told by a peer and received at `now`.
+/// Decodes a queued long prompt that was received from a peer at `now`.
 ///
 /// # Errors
 ///
-/// The service's name is malformed.
-pub fn decode_waiting_work(now: Timestamp, told: &WaitingWork) -> Result<WaitingPrompt, WireError> {
+/// Fails if the service's name is malformed.
+pub fn decode_waiting_work(
+    now: Timestamp,
+    waiting: &WaitingWork,
+) -> Result<WaitingPrompt, WireError> {
     Ok(WaitingPrompt {
-        service: told.service.parse()?,
-        read: Duration::from_micros(told.read_us),
-        since: now - Duration::from_millis(told.age_ms),
-        first_by: now + Duration::from_millis(told.first_in_ms),
-        until: now + Duration::from_millis(told.left_ms),
+        service: waiting.service.parse()?,
+        read: Duration::from_micros(waiting.read_us),
+        since: now - Duration::from_millis(waiting.age_ms),
+        first_by: now + Duration::from_millis(waiting.first_in_ms),
+        until: now + Duration::from_millis(waiting.left_ms),
     })
 }
 
-/// A request that is to be placed, as told to a scheduler at `now`.
+/// Encodes a placement request for a scheduler, with times relative to `now`.
 pub fn encode_ask(now: Timestamp, id: WorkId, job: &Job) -> Ask {
     Ask {
         sequence: id.sequence,
@@ -117,17 +120,17 @@
         tried: job.tried.iter().map(EndpointId::to_string).collect(),
         at_once: job.at_once,
         owner: None,
-        suspect: suspect_bytes(job.suspect),
+        suspect: encode_suspect(job.suspect),
         rank: job.rank.into(),
         closed: job.backing_off.iter().map(EndpointId::to_string).collect(),
     }
 }
 
-/// A request that is to be placed, as told by an instance and received at `now`.
+/// Decodes a placement request that was received from an instance at `now`.
 ///
 /// # Errors
 ///
-/// The service's name or an endpoint's id is malformed.
+/// Fails if the service's name, an endpoint's id or the fingerprint is malformed.
 pub fn decode_ask(now: Timestamp, ask: &Ask) -> Result<Job, WireError> {
     let answer_tokens = ask.answer_tokens;
     let tried = ask.tried.iter().map(|id| id.parse());
@@ -145,11 +148,11 @@
         backing_off: closed.collect::<Result<_, ParseIdError>>()?,
         at_once: ask.at_once,
         rank: u8::try_from(ask.rank).unwrap_or(u8::MAX),
-        suspect: suspect_of(&ask.suspect)?,
+        suspect: decode_suspect(&ask.suspect)?,
     })
 }
 
-/// How a request went at an endpoint, as told to a scheduler.
+/// Encodes the result of a request at an endpoint for a scheduler.
 pub fn encode_endpoint_result(endpoint: &EndpointId, event: HealthEvent) -> EndpointResult {
     let kind = match event {
         HealthEvent::Good => ResultKind::Good,
@@ -160,33 +163,33 @@
     EndpointResult { endpoint: endpoint.to_string(), kind: kind.into() }
 }
 
-/// How a request went at an endpoint, as told by an instance.
+/// Decodes the result of a request at an endpoint from an instance.
 ///
 /// # Errors
 ///
-/// The endpoint's id is malformed.
+/// Fails if the endpoint's id is malformed.
 pub fn decode_endpoint_result(
-    told: &EndpointResult,
+    result: &EndpointResult,
 ) -> Result<(EndpointId, HealthEvent), WireError> {
-    let event = match told.kind() {
+    let event = match result.kind() {
         ResultKind::Good => HealthEvent::Good,
         ResultKind::Bad => HealthEvent::Bad,
         ResultKind::Full => HealthEvent::Full,
         ResultKind::Foreign => HealthEvent::Foreign,
     };
-    Ok((told.endpoint.parse()?, event))
+    Ok((result.endpoint.parse()?, event))
 }
 
-/// How slow an engine is, as told by a peer.
+/// Decodes an engine's slowdown from a peer.
 ///
 /// # Errors
 ///
-/// The engine's id is malformed.
-pub fn decode_engine_pace(told: &EnginePace) -> Result<(EndpointId, Pace), WireError> {
-    Ok((told.endpoint.parse()?, Pace::from_percent(told.percent)))
+/// Fails if the engine's id is malformed.
+pub fn decode_engine_pace(pace: &EnginePace) -> Result<(EndpointId, Pace), WireError> {
+    Ok((pace.endpoint.parse()?, Pace::from_percent(pace.percent)))
 }
 
-/// What an instance does, as told to others.
+/// Encodes the role of an instance for peers.
 pub fn encode_role(role: Role) -> i32 {
     let role = match role {
         Role::Starting => wire::Role::Starting,
@@ -196,7 +199,8 @@
     role.into()
 }
 
-/// What the sender of a digest does. A role that this version does not know is none to rely on.
+/// Decodes the role of the sender of a digest. A role that this version does not know is decoded as
+/// [`Role::Starting`], so that nothing relies on it.
 pub fn decode_role(digest: &LoadDigest) -> Role {
     match digest.role() {
         wire::Role::Starting => Role::Starting,
--- a/crates/ringbend-wire/src/suspicions.rs
+++ b/crates/ringbend-wire/src/suspicions.rs
@@ -1,4 +1,4 @@
-//! Between what instances tell of suspected requests and the quarantine's types.
+//! Encoding of requests that are suspected of ending endpoints.
 
 use ringbend_gateway::{EndedProcess, Suspicion};
 use ringbend_types::EndpointStart;
@@ -6,7 +6,7 @@
 use crate::convert::WireError;
 use crate::generated as wire;
 
-/// What is known of a request, as told to peers and kept.
+/// Encodes a suspicion for peers and for storage.
 pub fn encode_suspicion(suspicion: &Suspicion) -> wire::Suspicion {
     let ended = suspicion.ended.iter().map(|process| wire::EndedProcess {
         endpoint: process.endpoint.to_string(),
@@ -20,20 +20,20 @@
     }
 }
 
-/// The same, as told by a peer or read.
+/// Decodes a suspicion from a peer or from storage.
 ///
 /// # Errors
 ///
-/// The fingerprint or an endpoint's id is malformed.
-pub fn decode_suspicion(told: &wire::Suspicion) -> Result<Suspicion, WireError> {
-    let ended = told.ended.iter().map(|process| {
+/// Fails if the fingerprint or an endpoint's id is malformed.
+pub fn decode_suspicion(suspicion: &wire::Suspicion) -> Result<Suspicion, WireError> {
+    let ended = suspicion.ended.iter().map(|process| {
         let start = process.start_ms.map(EndpointStart);
         Ok(EndedProcess { endpoint: process.endpoint.parse()?, start })
     });
     Ok(Suspicion {
-        fingerprint: told.fingerprint.as_slice().try_into()?,
-        round: told.round,
+        fingerprint: suspicion.fingerprint.as_slice().try_into()?,
+        round: suspicion.round,
         ended: ended.collect::<Result<_, WireError>>()?,
-        tries: u8::try_from(told.tries).unwrap_or(u8::MAX),
+        tries: u8::try_from(suspicion.tries).unwrap_or(u8::MAX),
     })
 }
--- a/crates/ringbend-wire/tests/messages.rs
+++ b/crates/ringbend-wire/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages survive the wire, of this release and of others.
+//! Encoding and decoding of messages, including those of newer releases.
 
 use quickcheck::{Gen, QuickCheck};
 use ringbend_membership as gossip;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn gossip_comes_back_as_it_was() {
+fn gossip_round_trips() {
     let sent = message(vec![
         gossip::Update::EndpointLeaving("engine-1".parse().unwrap()),
         gossip::Update::Member {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn fields_and_news_of_a_later_release_are_ignored() {
+fn unknown_fields_and_updates_of_a_newer_release_are_ignored() {
     let mut wire = Gossip::from(&message(Vec::new()));
     wire.updates.push(ringbend_wire::Update { news: None });
     let mut bytes = wire.encode_to_vec();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn entries_bring_a_replica_up() {
+fn an_entries_reply_updates_a_replica() {
     let entry = |version: u64| LogEntry {
         version: SettingsVersion(version),
         change: Change {
@@ -85,8 +85,8 @@
     assert_eq!(far_behind.version(), SettingsVersion(5));
 }
 
-/// No bytes make the decoder or the mapping panic.
-fn survives(bytes: Vec<u8>) -> bool {
+/// Arbitrary bytes make neither the decoder nor the conversion panic.
+fn decodes_without_panic(bytes: Vec<u8>) -> bool {
     if let Ok(Envelope { body: Some(envelope::Body::Gossip(gossip)) }) =
         Envelope::decode(bytes.as_slice())
     {
@@ -96,13 +96,16 @@
 }
 
 #[test]
-fn no_bytes_break_the_decoder() {
+fn arbitrary_bytes_do_not_panic() {
     let seeded = Gen::from_size_and_seed(300, 7);
-    QuickCheck::new().tests(2_000).rng(seeded).quickcheck(survives as fn(Vec<u8>) -> bool);
+    QuickCheck::new()
+        .tests(2_000)
+        .rng(seeded)
+        .quickcheck(decodes_without_panic as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn the_committed_code_is_what_the_generator_makes() {
+fn the_committed_code_matches_the_generator_output() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let files = protox::compile([root.join("proto/peer.proto")], [root.join("proto")]).unwrap();
     let out = std::env::temp_dir().join(format!("ringbend-wire-test-{}", std::process::id()));
