--- a/crates/ringbend-runtime/src/body.rs
+++ b/crates/ringbend-runtime/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body within bounds.
+//! Reading request bodies within a size and a time limit.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 
-/// Why a body could not be read.
+/// The reason why a body could not be read.
 #[derive(Debug)]
 pub enum BodyError {
-    /// Longer than the limit, in bytes.
+    /// The body exceeds the limit; holds the limit in bytes.
     TooLarge(usize),
-    /// The sender was too slow.
+    /// The body did not arrive in time.
     TooSlow,
-    /// The connection broke or the body was malformed.
+    /// The connection failed or the body is malformed.
     Broken(PayloadError),
 }
 
@@ -31,27 +31,27 @@
 
 impl std::error::Error for BodyError {}
 
-/// Reads a whole body of at most `limit` bytes within `time`.
+/// Reads a complete body of at most `limit` bytes within `time`.
 ///
 /// # Errors
 ///
-/// The body is too large, too slow, or broken.
+/// Fails if the body is too large, too slow or malformed.
 pub async fn read_body(payload: Payload, limit: usize, time: Duration) -> Result<Bytes, BodyError> {
     read_body_with(payload, limit, time, |_| {}).await
 }
 
-/// The same, and shows each piece of the body as it comes.
+/// Like [`read_body`], and calls `on_chunk` with each chunk of the body as it arrives.
 ///
 /// # Errors
 ///
-/// The body is too large, too slow, or broken.
+/// Fails if the body is too large, too slow or malformed.
 pub async fn read_body_with(
     payload: Payload,
     limit: usize,
     time: Duration,
-    show: impl FnMut(&[u8]),
+    on_chunk: impl FnMut(&[u8]),
 ) -> Result<Bytes, BodyError> {
-    match tokio::time::timeout(time, collect(payload, limit, show)).await {
+    match tokio::time::timeout(time, collect(payload, limit, on_chunk)).await {
         Ok(body) => body,
         Err(_) => Err(BodyError::TooSlow),
     }
@@ -60,25 +60,25 @@
 async fn collect(
     mut payload: Payload,
     limit: usize,
-    mut show: impl FnMut(&[u8]),
+    mut on_chunk: impl FnMut(&[u8]),
 ) -> Result<Bytes, BodyError> {
     let mut body = BytesMut::new();
-    let mut only = None;
+    let mut first_chunk = None;
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(BodyError::Broken)?;
-        if body.len() + only.as_ref().map_or(0, Bytes::len) + chunk.len() > limit {
+        if body.len() + first_chunk.as_ref().map_or(0, Bytes::len) + chunk.len() > limit {
             return Err(BodyError::TooLarge(limit));
         }
-        show(&chunk);
-        if body.is_empty() && only.is_none() {
-            // Most bodies are one chunk, which is kept as it is.
-            only = Some(chunk);
+        on_chunk(&chunk);
+        if body.is_empty() && first_chunk.is_none() {
+            // Most bodies are a single chunk, which is kept without copying.
+            first_chunk = Some(chunk);
             continue;
         }
-        if let Some(first) = only.take() {
+        if let Some(first) = first_chunk.take() {
             body.extend_from_slice(&first);
         }
         body.extend_from_slice(&chunk);
     }
-    Ok(only.unwrap_or_else(|| body.freeze()))
+    Ok(first_chunk.unwrap_or_else(|| body.freeze()))
 }
--- a/crates/ringbend-runtime/src/lib.rs
+++ b/crates/ringbend-runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every Ringbend program runs on: a clock, a timer service that parts subscribe to, and
-//! HTTP serving over `actix-http` with bounded bodies and answers streamed with back pressure.
+//! Runtime services shared by all Ringbend programs: a clock, a timer service with subscriptions, and an
+//! HTTP server on `actix-http` with bounded request bodies and backpressure on streamed responses.
 //!
-//! All of it lives on the thread that starts it.
+//! All of these run on the thread that starts them.
 
 mod body;
 mod clock;
--- a/crates/ringbend-runtime/src/server.rs
+++ b/crates/ringbend-runtime/src/server.rs
@@ -1,4 +1,4 @@
-//! A listener that serves HTTP/1.1 and HTTP/2 on the thread that starts it.
+//! An HTTP/1.1 and HTTP/2 server that runs on the thread that starts it.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -13,26 +13,26 @@
 use futures_util::future::LocalBoxFuture;
 use tokio::task::JoinHandle;
 
-/// A request as handlers get it.
+/// The request type of handlers.
 pub type HttpRequest = Request;
 
-/// A response as handlers give it.
+/// The response type of handlers.
 pub type HttpResponse = Response<BoxBody>;
 
-/// Answers requests.
+/// Handles HTTP requests.
 pub trait Handler {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse>;
 }
 
-/// Bounds of a listener.
+/// Limits of a server.
 #[derive(Debug, Clone)]
 pub struct ServerConfig {
-    /// How long a connection may be idle between requests.
+    /// How long a connection may stay idle between requests.
     pub keep_alive: Duration,
     /// How long the head of a request may take to arrive.
     pub head_timeout: Duration,
-    /// Most connections open at once; more wait in the system's backlog.
+    /// Maximum number of open connections. Further ones wait in the system's backlog.
     pub max_connections: usize,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A running listener. Dropping it stops accepting; open connections go on.
+/// A running server. Dropping it stops accepting connections; open ones continue.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -54,29 +54,29 @@
     task: JoinHandle<()>,
 }
 
-/// Counts a connection for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl ConnectionGuard {
     fn new(connections: &Rc<Cell<usize>>) -> Self {
         connections.set(connections.get() + 1);
         Self(connections.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Server {
-    /// The address it listens on.
+    /// The address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections open now.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
@@ -88,11 +88,11 @@
     }
 }
 
-/// Listens on `address` and serves requests on this thread.
+/// Listens on `address` and serves requests on the current thread.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
+/// Fails if the address cannot be bound.
 pub async fn serve(
     address: SocketAddr,
     cfg: ServerConfig,
@@ -112,33 +112,33 @@
         .tcp_auto_h2c();
     let service = match service.new_service(()).await {
         Ok(service) => Rc::new(service),
-        Err(()) => return Err(std::io::Error::other("the HTTP service did not start")),
+        Err(()) => return Err(std::io::Error::other("the HTTP service failed to start")),
     };
     let connections = Rc::new(Cell::new(0));
-    let counted = connections.clone();
-    let places = Rc::new(tokio::sync::Semaphore::new(cfg.max_connections));
+    let open_connections = connections.clone();
+    let permits = Rc::new(tokio::sync::Semaphore::new(cfg.max_connections));
     let task = tokio::task::spawn_local(async move {
         loop {
-            let Ok(place) = tokio::sync::Semaphore::acquire(&places).await else { return };
-            place.forget();
+            let Ok(permit) = tokio::sync::Semaphore::acquire(&permits).await else { return };
+            permit.forget();
             let connection = match listener.accept().await {
                 Ok((connection, _)) => connection,
                 Err(e) => {
-                    log::warn!("accept failed: {e}");
-                    places.add_permits(1);
+                    log::warn!("failed to accept a connection: {e}");
+                    permits.add_permits(1);
                     actix_rt::time::sleep(Duration::from_millis(50)).await;
                     continue;
                 }
             };
             let _ = connection.set_nodelay(true);
-            let (service, places) = (service.clone(), places.clone());
-            let count = Counted::new(&counted);
+            let (service, permits) = (service.clone(), permits.clone());
+            let guard = ConnectionGuard::new(&open_connections);
             tokio::task::spawn_local(async move {
-                let _count = count;
+                let _guard = guard;
                 if let Err(e) = service.call(connection).await {
-                    log::debug!("connection ended: {e}");
+                    log::debug!("connection closed with an error: {e}");
                 }
-                places.add_permits(1);
+                permits.add_permits(1);
             });
         }
     });
--- a/crates/ringbend-runtime/src/timers.rs
+++ b/crates/ringbend-runtime/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timer service: parts subscribe a callback and say when they want it next.
+//! The timer service, which runs subscribed callbacks when they are due.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 use crate::clock::Clock;
 
-/// Called when due; returns when it is due next.
+/// Called when due. Returns when it is due next.
 type Callback = Rc<dyn Fn(Timestamp) -> Timestamp>;
 
 struct Entry {
@@ -25,27 +25,27 @@
     changed: Notify,
 }
 
-/// Runs callbacks on this thread when they are due.
+/// Runs callbacks when they are due, on the thread that started the service.
 pub struct TimerService {
     shared: Rc<Shared>,
     task: JoinHandle<()>,
 }
 
-/// A part's place in the timer service. Dropping it ends the subscription.
+/// A callback's subscription to the timer service. Dropping it cancels the callback.
 pub struct Subscription {
     id: u64,
     shared: Weak<Shared>,
 }
 
 impl TimerService {
-    /// Starts the service on this thread.
+    /// Starts the service on the current thread.
     pub fn start(clock: Clock) -> Self {
         let shared = Rc::new(Shared::default());
-        let task = tokio::task::spawn_local(run(clock, shared.clone()));
+        let task = tokio::task::spawn_local(run_timers(clock, shared.clone()));
         Self { shared, task }
     }
 
-    /// Subscribes a callback that is first due at `due` and returns when it is due next.
+    /// Subscribes a callback that is first due at `due` and returns its next due time.
     pub fn subscribe(
         &self,
         due: Timestamp,
@@ -67,7 +67,7 @@
 }
 
 impl Subscription {
-    /// Makes the callback due at `at`, when that is sooner than now planned.
+    /// Makes the callback due at `at`, unless it is due earlier already.
     pub fn no_later_than(&self, at: Timestamp) {
         let Some(shared) = self.shared.upgrade() else { return };
         let mut entries = shared.entries.borrow_mut();
@@ -89,18 +89,18 @@
     }
 }
 
-async fn run(clock: Clock, shared: Rc<Shared>) {
+async fn run_timers(clock: Clock, shared: Rc<Shared>) {
     loop {
         let next = shared.entries.borrow().values().map(|e| e.due).min();
         let due = next.unwrap_or(Timestamp::NEVER);
         tokio::select! {
-            () = clock.sleep_until(due) => fire(clock.now(), &shared),
+            () = clock.sleep_until(due) => run_due_callbacks(clock.now(), &shared),
             () = shared.changed.notified() => {}
         }
     }
 }
 
-fn fire(now: Timestamp, shared: &Shared) {
+fn run_due_callbacks(now: Timestamp, shared: &Shared) {
     let entries = shared.entries.borrow();
     let due: Vec<u64> = entries.iter().filter(|(_, e)| e.due <= now).map(|(id, _)| *id).collect();
     drop(entries);
