--- a/crates/ringbend-telemetry/src/lib.rs
+++ b/crates/ringbend-telemetry/src/lib.rs
@@ -1,5 +1,5 @@
-//! To see what Ringbend does: logs by `fern`, metrics by `prometheus-client`, and traces with a
-//! span for each hop, exported by OTLP when an address is set.
+//! Observability: logs with `fern`, metrics with `prometheus-client`, and trace spans that are exported
+//! over OTLP if a collector address is set.
 
 mod line_queue;
 mod logs;
--- a/crates/ringbend-telemetry/src/logs.rs
+++ b/crates/ringbend-telemetry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs as text or as one JSON object a line, on standard output or standard error.
+//! Logging as text or as one JSON object per line, to standard output or standard error.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 
 use crate::line_queue::LineQueue;
 
-/// How a line is written.
+/// The format of a log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
@@ -21,18 +21,18 @@
     Json,
 }
 
-/// Where lines go.
+/// The destination of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogOutput {
     /// Standard output.
     Stdout,
-    /// Standard error, for programs whose standard output says something else.
+    /// Standard error, for programs that use standard output for something else.
     #[default]
     Stderr,
 }
 
-/// The text names no format.
+/// The string is not the name of a log format.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseLogFormatError;
 
@@ -56,15 +56,15 @@
     }
 }
 
-/// What is logged and how.
+/// Configuration of the logger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LogConfig {
-    /// How a line is written.
+    /// The format of a log line.
     pub format: LogFormat,
-    /// The least level written: `off`, `error`, `warn`, `info`, `debug` or `trace`.
+    /// The minimum level that is logged: `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: log::LevelFilter,
-    /// Where lines go.
+    /// The destination of log lines.
     pub output: LogOutput,
 }
 
@@ -74,13 +74,13 @@
     }
 }
 
-/// A logger was started before in this process.
+/// A logger has already been set in this process.
 #[derive(Debug)]
 pub struct LogError(log::SetLoggerError);
 
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "logs were started before: {}", self.0)
+        write!(f, "a logger is already set: {}", self.0)
     }
 }
 
@@ -107,12 +107,12 @@
     }
 }
 
-/// Starts the process's logger. Lines are written by a thread of their own; those that come while
-/// its queue is full are left out and counted, so that no request waits for a reader of the logs.
+/// Starts the logger of the process. A separate thread writes the lines. Lines that arrive while its queue
+/// is full are dropped and counted, so that no request waits for a slow reader of the log.
 ///
 /// # Errors
 ///
-/// A logger was started before.
+/// Fails if a logger has already been set in this process.
 pub fn init_logging(cfg: &LogConfig) -> Result<(), LogError> {
     let format = cfg.format;
     let queue = LineQueue::start(cfg.output);
--- a/crates/ringbend-telemetry/src/metrics.rs
+++ b/crates/ringbend-telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one instance, with units in the names.
+//! Metrics of one instance. Names contain the unit.
 
 use std::fmt;
 use std::sync::atomic::AtomicU64;
@@ -12,16 +12,16 @@
 use prometheus_client::registry::{Registry, Unit};
 use ringbend_types::PromptBucket;
 
-/// How a request ended, as counted.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Outcome {
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     Answered,
-    /// Admitted, and failed.
+    /// The request was admitted and failed.
     Failed,
-    /// Not admitted, and not run.
+    /// The request was not admitted and not run.
     Rejected,
-    /// The caller went away before the end.
+    /// The caller disconnected before the end.
     CallerGone,
 }
 
@@ -45,7 +45,7 @@
     code: &'static str,
 }
 
-/// The metrics. Cheap to clone; all clones count together.
+/// The metrics of one instance. Cheap to clone; all clones share the same counters.
 #[derive(Clone)]
 pub struct Metrics {
     requests: Family<OutcomeLabels, Counter>,
@@ -63,7 +63,7 @@
     endpoint_limits: Family<EndpointLabels, Gauge<f64, AtomicU64>>,
     /// Requests that are held because they end endpoints.
     pub held_requests: Gauge,
-    /// Endpoints that name a limit.
+    /// Endpoints that announce a rate limit.
     pub limited_endpoints: Gauge,
     /// Endpoints that have announced that they are draining.
     pub draining_endpoints: Gauge,
@@ -71,11 +71,11 @@
     pub endpoint_backoffs: Gauge,
     /// The settings version in force.
     pub settings_version: Gauge,
-    /// Admitted requests that have not ended.
+    /// Admitted requests that have not ended yet.
     pub open_requests: Gauge,
-    /// Requests that wait for an endpoint.
+    /// Requests that are waiting for an endpoint.
     pub queued_requests: Gauge,
-    /// Instances taken for alive, this one included.
+    /// Instances considered alive, including this one.
     pub live_instances: Gauge,
 }
 
@@ -120,7 +120,7 @@
         self.admitted.inc();
     }
 
-    /// Admitted requests since the start.
+    /// The number of requests admitted since the start.
     pub fn admitted_total(&self) -> u64 {
         self.admitted.get()
     }
@@ -130,23 +130,23 @@
         self.requests.get_or_create(&OutcomeLabels { outcome }).inc();
     }
 
-    /// Requests that ended this way since the start.
+    /// The number of requests since the start that ended with this outcome.
     pub fn ended_total(&self, outcome: Outcome) -> u64 {
         self.requests.get_or_create(&OutcomeLabels { outcome }).get()
     }
 
-    /// Counts a refusal or failure by its code.
+    /// Counts a rejection or failure by its error code.
     pub fn failure(&self, code: &'static str) {
         self.failures.get_or_create(&CodeLabels { code }).inc();
     }
 
-    /// Counts the time from arrival to first token.
+    /// Records the time from arrival to the first token.
     pub fn first_token(&self, bucket: PromptBucket, time: Duration) {
         let labels = BucketLabels { prompt: bucket.label() };
         self.first_token.get_or_create(&labels).observe(time.as_secs_f64());
     }
 
-    /// Counts an attempt at an endpoint.
+    /// Counts an attempt at an endpoint; `number` is one for the first attempt of a request.
     pub fn attempt(&self, number: u32) {
         self.attempts.inc();
         if number > 1 {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Counts a claim asked for.
+    /// Counts a requested claim.
     pub fn claim(&self) {
         self.claims.inc();
     }
@@ -169,22 +169,22 @@
         self.peer_bytes.inc_by(bytes);
     }
 
-    /// Counts an endpoint that ended while it ran a request.
+    /// Counts an endpoint that ended while it was running a request.
     pub fn strike(&self) {
         self.strikes.inc();
     }
 
-    /// Counts a response header of the endpoint protocol that is not known.
+    /// Counts an unknown response header of the endpoint protocol.
     pub fn unknown_signal(&self) {
         self.unknown_signals.inc();
     }
 
-    /// Counts a request that was placed on an endpoint which takes none, and was not sent.
+    /// Counts a request that was not sent, because the endpoint it was placed on does not accept requests.
     pub fn inadmissible(&self) {
         self.inadmissible.inc();
     }
 
-    /// Notes how many requests a second an endpoint takes by its own word; none if it names no limit.
+    /// Sets the rate limit that an endpoint announced, in requests per second, or removes it.
     pub fn set_endpoint_limit(&self, endpoint: &str, rate: Option<f64>) {
         let labels = EndpointLabels { endpoint: endpoint.to_owned() };
         match rate {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut registry = Registry::with_prefix("ringbend");
         self.register(&mut registry);
@@ -203,42 +203,66 @@
     }
 
     fn register(&self, r: &mut Registry) {
-        r.register("requests", "Requests ended, by outcome", self.requests.clone());
-        r.register("requests_admitted", "Requests admitted", self.admitted.clone());
-        r.register("failures", "Refusals and failures, by code", self.failures.clone());
+        r.register("requests", "Ended requests, by outcome", self.requests.clone());
+        r.register("requests_admitted", "Admitted requests", self.admitted.clone());
+        r.register("failures", "Rejections and failures, by code", self.failures.clone());
         r.register_with_unit(
             "time_to_first_token",
-            "From arrival to first token, by prompt length",
+            "Time from arrival to first token, by prompt length",
             Unit::Seconds,
             self.first_token.clone(),
         );
         r.register("attempts", "Attempts at endpoints", self.attempts.clone());
         r.register("retries", "Attempts after the first", self.retries.clone());
-        r.register("claims", "Claims asked for", self.claims.clone());
+        r.register("claims", "Requested claims", self.claims.clone());
         r.register("table_calls", "Calls to the table service", self.table_calls.clone());
         r.register_with_unit(
             "peer_sent",
-            "Sent to other instances",
+            "Bytes sent to other instances",
             Unit::Bytes,
             self.peer_bytes.clone(),
         );
-        r.register("strikes", "Requests on endpoints that ended", self.strikes.clone());
-        r.register("held_requests", "Held as they end endpoints", self.held_requests.clone());
+        r.register(
+            "strikes",
+            "Requests whose endpoint ended while running them",
+            self.strikes.clone(),
+        );
+        r.register(
+            "held_requests",
+            "Requests held because they end endpoints",
+            self.held_requests.clone(),
+        );
         let rates = self.endpoint_limits.clone();
-        r.register("endpoint_limit", "Requests a second that an endpoint takes", rates);
+        r.register("endpoint_limit", "Rate limit of an endpoint, in requests per second", rates);
         let limited = self.limited_endpoints.clone();
-        r.register("limited_endpoints", "Endpoints that name a limit", limited);
+        r.register("limited_endpoints", "Endpoints that announce a rate limit", limited);
         let draining = self.draining_endpoints.clone();
-        r.register("draining_endpoints", "Endpoints that announced that they drain", draining);
+        r.register("draining_endpoints", "Endpoints that have announced a drain", draining);
         let backoffs = self.endpoint_backoffs.clone();
         r.register("endpoint_backoffs", "Endpoints that asked this instance to back off", backoffs);
         let unknown = self.unknown_signals.clone();
         let inadmissible = self.inadmissible.clone();
-        r.register("inadmissible_placements", "Placed on endpoints that take none", inadmissible);
-        r.register("unknown_signals", "Unknown headers in responses of endpoints", unknown);
-        r.register("settings_version", "Settings in force", self.settings_version.clone());
-        r.register("open_requests", "Admitted and not ended", self.open_requests.clone());
-        r.register("queued_requests", "Waiting for an endpoint", self.queued_requests.clone());
-        r.register("live_instances", "Instances taken for alive", self.live_instances.clone());
+        r.register(
+            "inadmissible_placements",
+            "Requests placed on endpoints that do not accept any",
+            inadmissible,
+        );
+        r.register("unknown_signals", "Unknown headers in endpoint responses", unknown);
+        r.register(
+            "settings_version",
+            "Version of the settings in force",
+            self.settings_version.clone(),
+        );
+        r.register(
+            "open_requests",
+            "Admitted requests that have not ended",
+            self.open_requests.clone(),
+        );
+        r.register(
+            "queued_requests",
+            "Requests waiting for an endpoint",
+            self.queued_requests.clone(),
+        );
+        r.register("live_instances", "Instances considered alive", self.live_instances.clone());
     }
 }
--- a/crates/ringbend-telemetry/src/traces.rs
+++ b/crates/ringbend-telemetry/src/traces.rs
@@ -1,6 +1,6 @@
-//! A span for each hop, with W3C trace context passed through.
+//! Trace spans with W3C trace context propagation.
 //!
-//! Without an OTLP address no spans are made and the caller's context is passed on as it came.
+//! Without an OTLP address no spans are created, and the caller's context is passed on unchanged.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -20,17 +20,17 @@
 /// The header that carries the trace context.
 const TRACEPARENT: &str = "traceparent";
 
-/// Exports waiting to be sent; more are dropped.
-const EXPORTS_WAITING: usize = 16;
+/// Maximum number of exports waiting to be sent. Further ones are dropped.
+const MAX_PENDING_EXPORTS: usize = 16;
 
-/// A trace context as it came with a request, or as it goes on.
+/// The trace context of an incoming or outgoing request.
 #[derive(Debug, Clone, Default)]
 pub struct TraceContext {
     span: Option<SpanContext>,
 }
 
 impl TraceContext {
-    /// The context of a `traceparent` header; malformed ones count as none.
+    /// Parses a `traceparent` header. A malformed header counts as absent.
     pub fn from_header(value: Option<&str>) -> Self {
         let Some(value) = value else { return Self::default() };
         let carrier = HashMap::from([(TRACEPARENT.to_owned(), value.to_owned())]);
@@ -39,7 +39,7 @@
         Self { span: span.is_valid().then_some(span) }
     }
 
-    /// The `traceparent` header to send on.
+    /// The `traceparent` header for outgoing requests.
     pub fn to_header(&self) -> Option<String> {
         let span = self.span.as_ref()?;
         let flags = span.trace_flags().to_u8();
@@ -47,18 +47,18 @@
     }
 }
 
-/// Which side of a hop a span is.
+/// The kind of a span.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TraceSpanKind {
-    /// A request was taken.
+    /// Handling of an incoming request.
     Server,
-    /// A request was sent.
+    /// An outgoing request.
     Client,
     /// Work or waiting inside the instance.
     Internal,
 }
 
-/// One hop's span. It ends when dropped.
+/// A running span. It ends when it is dropped.
 #[derive(Debug)]
 pub struct TraceSpan {
     span: Option<SdkSpan>,
@@ -66,12 +66,12 @@
 }
 
 impl TraceSpan {
-    /// The context for what this hop calls.
+    /// The trace context for requests that are made within this span.
     pub fn context(&self) -> &TraceContext {
         &self.context
     }
 
-    /// Notes an attribute.
+    /// Sets an attribute of the span.
     pub fn set_attribute(&mut self, key: &'static str, value: impl fmt::Display) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(key, value.to_string()));
@@ -87,12 +87,12 @@
     }
 }
 
-/// One OTLP request to be posted by the driver.
+/// One OTLP request, to be sent by the receiver of the export channel.
 #[derive(Debug)]
 pub struct Export {
-    /// The request.
+    /// The HTTP request.
     pub request: http::Request<Bytes>,
-    /// Takes the response's status; dropping it means that the post failed.
+    /// Takes the status of the response. Dropping it reports that the request failed.
     pub done: oneshot::Sender<http::StatusCode>,
 }
 
@@ -115,24 +115,24 @@
     }
 }
 
-/// Makes spans.
+/// Creates spans.
 #[derive(Debug, Clone, Default)]
 pub struct Tracing {
     tracer: Option<(SdkTracer, SdkTracerProvider)>,
 }
 
 impl Tracing {
-    /// Spans are made and exported to `otlp_url`, the collector's traces route; the driver posts
-    /// what comes out of the receiver.
+    /// Creates a tracer that exports its spans to `otlp_url`, the URL of the collector's traces endpoint.
+    /// The caller sends the requests that arrive on the returned receiver.
     ///
     /// # Errors
     ///
-    /// The address does not parse.
+    /// Fails if the URL is malformed.
     pub fn with_exporter(
         otlp_url: &str,
         instance: &str,
     ) -> Result<(Self, mpsc::Receiver<Export>), ExporterBuildError> {
-        let (tx, rx) = mpsc::channel(EXPORTS_WAITING);
+        let (tx, rx) = mpsc::channel(MAX_PENDING_EXPORTS);
         let exporter = opentelemetry_otlp::SpanExporter::builder()
             .with_http()
             .with_http_client(ExportClient { tx })
@@ -151,7 +151,7 @@
         Ok((Self { tracer: Some((tracer, provider)) }, rx))
     }
 
-    /// Starts a hop below `parent`.
+    /// Starts a span as a child of `parent`.
     pub fn start_span(
         &self,
         name: &'static str,
@@ -176,7 +176,8 @@
         TraceSpan { span: Some(span), context }
     }
 
-    /// The provider, to be shut down off the driver's thread, which posts its last export.
+    /// The tracer provider. It has to be shut down on another thread than the one that sends the exports,
+    /// because the shutdown waits for the last export.
     pub fn provider(&self) -> Option<SdkTracerProvider> {
         self.tracer.as_ref().map(|(_, provider)| provider.clone())
     }
