--- a/crates/ringbend-platform/src/endpoint.rs
+++ b/crates/ringbend-platform/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the platform lists them, and what they report and accept.
+//! Endpoints in the platform's instance list, and the messages exchanged with them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,49 +8,49 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Header names between instances and endpoints.
+/// Names of the HTTP headers between instances and endpoints.
 pub mod headers {
-    /// The attempt id; the endpoint echoes it on the response.
+    /// The attempt id, which the endpoint echoes in the response.
     pub const ATTEMPT_ID: &str = "x-attempt-id";
-    /// The request id; a model engine writes it as `id` into each event.
+    /// The request id, which a model engine includes as `id` in each event.
     pub const REQUEST_ID: &str = "x-request-id";
-    /// Priority of the request at the engine; 0 goes first.
+    /// The priority of the request at the engine; 0 is the highest.
     pub const PRIORITY: &str = "x-priority";
-    /// Tokens of KV memory reserved for this attempt on other engines.
+    /// KV cache tokens that are reserved for this attempt on other engines.
     pub const BORROWED_TOKENS: &str = "x-borrowed-tokens";
-    /// Set by an endpoint that refused a request without running it.
+    /// Set by an endpoint that rejected a request without running it.
     pub const NOT_RUN: &str = "x-not-run";
-    /// A [`super::LoadReport`] as JSON, set by endpoints on each response.
+    /// A [`super::LoadReport`] as JSON, set by endpoints on every response.
     pub const LOAD_REPORT: &str = "x-load-report";
 }
 
-/// What kind of back end an endpoint is.
+/// The kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-    /// Runs a model: prompts in, tokens out.
+    /// A model engine, which generates tokens from prompts.
     Engine,
     /// A plain HTTP service.
     Service,
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Takes new work.
+    /// Accepts new requests.
     Live,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its open requests and accepts no new ones.
     Leaving,
 }
 
-/// The text is not one of the allowed words.
+/// The string is not the name of an endpoint state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseEndpointStateError;
 
 impl fmt::Display for ParseEndpointStateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "expected one of engine, service, live, leaving")
+        write!(f, "expected live or leaving")
     }
 }
 
@@ -68,104 +68,104 @@
     }
 }
 
-/// One endpoint in the platform's instance list.
+/// An entry in the platform's instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// The endpoint's id; a restarted endpoint gets a new one.
+    /// The endpoint's id. A restarted endpoint gets a new one.
     pub id: EndpointId,
-    /// Where it listens, `IP:port`.
+    /// The address that it listens on, as `IP:port`.
     pub address: std::net::SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Engine or plain service.
+    /// The kind of the endpoint.
     pub kind: EndpointKind,
-    /// The service whose requests it takes.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// KV memory of an engine; zero for a plain service.
+    /// KV cache capacity of an engine; zero for a plain service.
     pub kv_capacity: TokenCount,
-    /// As the list has it; the truth may be ahead.
+    /// The state according to the list, which may lag behind the actual state.
     pub state: EndpointState,
 }
 
-/// What an endpoint says of its load. Arrives late.
+/// The load that an endpoint reports. May be outdated on arrival.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being prefilled or decoded.
+    /// Requests in prefill or decode.
     pub running: u32,
-    /// Requests waiting for memory or a place in the batch.
+    /// Requests waiting for KV cache memory or for a slot in the batch.
     pub waiting: u32,
-    /// Prompt tokens not yet prefilled, of running and waiting requests.
+    /// Prompt tokens of running and waiting requests that are not prefilled yet.
     pub prefill_backlog: TokenCount,
-    /// KV memory held by requests and reservations.
+    /// KV cache memory used by requests and reservations.
     pub kv_used: TokenCount,
-    /// All KV memory.
+    /// Total KV cache memory.
     pub kv_capacity: TokenCount,
-    /// Whether the endpoint is leaving.
+    /// The state of the endpoint.
     pub state: EndpointState,
 }
 
-/// A change in an engine's prefix cache. Late and gappy: a hint only.
+/// A change in an engine's prefix cache. Events may be delayed or lost, so they are only a hint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one per engine; a jump shows a gap.
+    /// Sequence number, increasing by one per engine. A jump indicates lost events.
     pub sequence: u64,
     /// Hash of the prefix up to and including the block.
     pub block: u64,
-    /// Stored, or evicted.
+    /// `true` if the block was stored, `false` if it was evicted.
     pub stored: bool,
 }
 
-/// KV memory held on one engine for an attempt that runs on another, or for an export.
+/// KV cache memory held on one engine for an attempt that runs on another one, or for an export.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The attempt that the memory is for; its incarnation names the holder.
+    /// The attempt that the memory is reserved for. Its incarnation identifies the holder.
     pub attempt: AttemptId,
-    /// How much is held.
+    /// The amount of memory held.
     pub tokens: TokenCount,
 }
 
-/// What an order asks for. All are idempotent: they name the wanted state.
+/// The content of an order. All orders are idempotent, because they specify the desired state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Have this model version loaded.
+    /// Load this version of a model.
     LoadModel {
         /// The model.
         model: ModelName,
         /// Its version.
         version: u64,
     },
-    /// Have this adapter loaded.
+    /// Load this adapter.
     LoadAdapter {
         /// The adapter.
         adapter: ModelName,
     },
-    /// Have this role.
+    /// Take this role.
     SetRole {
         /// The role.
         role: ModelName,
     },
     /// Free the reservations of these attempts.
     FreeReservations {
-        /// Whose memory is freed.
+        /// The attempts whose reservations are freed.
         attempts: Vec<AttemptId>,
     },
 }
 
-/// An order under a lease.
+/// An order issued under a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The number of the lease under which the order is given.
+    /// The fencing token of the lease under which the order is issued.
     pub fencing: FencingToken,
-    /// What is asked.
+    /// The content of the order.
     pub kind: OrderKind,
 }
 
-/// The endpoint has seen a higher fencing number.
+/// The endpoint rejected an order, because it has seen a higher fencing token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRefusal {
-    /// The highest number seen.
+    /// The highest fencing token seen.
     pub highest: FencingToken,
 }
--- a/crates/ringbend-platform/src/lib.rs
+++ b/crates/ringbend-platform/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages of the platform that Ringbend runs on, as plain types.
 //!
-//! The table service keeps what must last or be agreed, the object store keeps large answers,
-//! the instance list tells which endpoints live, and endpoints take requests, reservations and
-//! orders. The daemon carries these types over HTTP; tests and the bench pass them directly.
+//! The table service stores data that has to be durable or agreed on, the object store holds large
+//! answers, the instance list contains the running endpoints, and endpoints accept requests, reservations
+//! and orders. The daemon exchanges these types over HTTP; tests and the benchmark use them directly.
 
 mod endpoint;
 mod table;
--- a/crates/ringbend-platform/src/table.rs
+++ b/crates/ringbend-platform/src/table.rs
@@ -1,22 +1,22 @@
-//! The transactional table service: conditions and writes in one commit.
+//! The transactional table service, with conditional commits.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The key of a row. Rows sort by key.
+/// The key of a row. Rows are ordered by key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RowKey(Arc<str>);
 
 impl RowKey {
-    /// A key from its text.
+    /// Creates a key from a string.
     pub fn new(text: impl Into<Arc<str>>) -> Self {
         Self(text.into())
     }
 
-    /// The key as text.
+    /// The key as a string.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -28,25 +28,25 @@
     }
 }
 
-/// Rises each time a row is written; never falls, not even over a delete.
+/// The version of a row. Increases with each write and never decreases, not even across a delete.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RowVersion(pub u64);
 
-/// One row as read.
+/// A row returned by a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The row's key.
     pub key: RowKey,
-    /// The version the row had when read.
+    /// The version of the row at the time of the read.
     pub version: RowVersion,
-    /// The value, JSON text by convention.
+    /// The value, JSON by convention.
     pub value: Arc<str>,
 }
 
-/// A condition of a commit. All must hold, or nothing is written.
+/// A condition of a commit. Nothing is written unless all conditions hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
@@ -57,7 +57,7 @@
 }
 
 impl Condition {
-    /// The row the condition speaks of.
+    /// The key of the row that the condition applies to.
     pub fn key(&self) -> &RowKey {
         match self {
             Self::Absent(key) | Self::VersionIs(key, _) => key,
@@ -75,7 +75,7 @@
         key: RowKey,
         /// The new value.
         value: Arc<str>,
-        /// Seconds after which the service may delete the row; `None` keeps it.
+        /// Time to live in seconds, after which the service may delete the row. `None` keeps the row.
         ttl_s: Option<u64>,
     },
     /// Delete the row.
@@ -89,31 +89,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableRequest {
-    /// Read the rows of these keys; absent ones are left out of the reply.
+    /// Read the rows with these keys. Absent rows are omitted from the reply.
     Read {
         /// The keys to read.
         keys: Vec<RowKey>,
     },
     /// Read rows whose key starts with a prefix, in key order.
     Scan {
-        /// What the keys start with.
+        /// The key prefix.
         prefix: Arc<str>,
         /// Start after this key.
         after: Option<RowKey>,
-        /// At most this many rows.
+        /// Maximum number of rows in the reply.
         limit: usize,
     },
-    /// Check the conditions and do the writes, as one transaction.
+    /// Check the conditions and apply the writes in one transaction.
     Commit {
-        /// All must hold.
+        /// The conditions, all of which must hold.
         conditions: Vec<Condition>,
-        /// Done together or not at all.
+        /// The writes, which are applied together or not at all.
         writes: Vec<Write>,
     },
 }
 
 impl TableRequest {
-    /// Whether the call can change rows.
+    /// Whether the request can change rows.
     pub fn is_write(&self) -> bool {
         matches!(self, Self::Commit { .. })
     }
@@ -123,30 +123,34 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableReply {
-    /// The rows that a read or scan found.
+    /// The rows found by a read or scan.
     Rows(Vec<Row>),
     /// The commit took effect.
     Committed,
-    /// Some condition did not hold and nothing was written. Holds the current rows of the
-    /// conditions that failed; a failed `VersionIs` of an absent row adds none.
+    /// At least one condition did not hold, and nothing was written. Contains the current rows of the failed
+    /// conditions; a `VersionIs` condition that failed on an absent row contributes none.
     ConditionsFailed(Vec<Row>),
 }
 
-/// Why a call to the table service has no reply.
+/// The reason why a call to the table service got no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableError {
-    /// The service refused the call before doing anything: over its rate, or in an outage.
+    /// The service rejected the call without doing anything, because of its rate limit or an outage.
     NotApplied,
-    /// No reply arrived. A commit may have taken effect, or may yet.
+    /// No reply arrived. A commit may have taken effect, or may still do so.
     OutcomeUnknown,
 }
 
 impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotApplied => write!(f, "the table service refused the call; nothing was done"),
-            Self::OutcomeUnknown => write!(f, "no reply from the table service; outcome unknown"),
+            Self::NotApplied => {
+                write!(f, "the table service rejected the call without applying it")
+            }
+            Self::OutcomeUnknown => {
+                write!(f, "no reply from the table service; the outcome is unknown")
+            }
         }
     }
 }
