--- a/crates/ringbend-settings/src/change.rs
+++ b/crates/ringbend-settings/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the tree, as operators send them and as the log keeps them.
+//! Changes of the settings tree, as sent by operators and as stored in the log.
 
 use std::sync::Arc;
 
@@ -9,35 +9,35 @@
 use crate::key::SettingKey;
 use crate::path::NodePath;
 
-/// One override set or removed.
+/// Sets or removes one override.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// The node.
+    /// The node that is edited.
     pub path: NodePath,
-    /// The setting.
+    /// The setting that is edited.
     pub key: SettingKey,
-    /// The new value; `None` removes the override, so that the node inherits.
+    /// The new value. `None` removes the override, so that the node inherits the value again.
     pub value: Option<Value>,
 }
 
-/// Edits that are accepted together or not at all.
+/// A set of edits that are accepted together or not at all.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The operator's id; sending the same change again is harmless.
+    /// The operator's id of the change, which makes it idempotent.
     pub id: ChangeId,
-    /// Who asks, for the history.
+    /// The author, for the history.
     pub author: Arc<str>,
-    /// When given, the change conflicts if an edited node changed after this version.
+    /// If set, the change conflicts when an edited node has changed after this version.
     #[serde(default)]
     pub base: Option<SettingsVersion>,
-    /// What changes.
+    /// The edits.
     pub edits: Vec<Edit>,
 }
 
 impl Change {
-    /// The edited nodes, each once, in order.
+    /// The paths of the edited nodes, sorted and without duplicates.
     pub fn paths(&self) -> Vec<NodePath> {
         let mut paths: Vec<NodePath> = self.edits.iter().map(|edit| edit.path.clone()).collect();
         paths.sort();
@@ -46,10 +46,10 @@
     }
 }
 
-/// An accepted change in the log.
+/// An accepted change, as stored in the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The version that the change made.
+    /// The version created by the change.
     pub version: SettingsVersion,
     /// The change.
     pub change: Change,
--- a/crates/ringbend-settings/src/commit.rs
+++ b/crates/ringbend-settings/src/commit.rs
@@ -1,8 +1,8 @@
-//! Commits one change through the table service, over lost answers and crossing changes.
+//! Commits a change through the table service, handling lost replies and concurrent changes.
 //!
-//! One transaction checks the head, the edited nodes and that the change id is new, and writes
-//! them together with a log row. After an unknown outcome the change id is read back first, so a
-//! change never lands twice and is never reported refused when it took effect.
+//! One transaction checks that the head and the edited nodes are unchanged and that the change id is new,
+//! and writes them together with a log row. After an unknown outcome the change id is read back first, so a
+//! change is never applied twice and never reported as rejected after it took effect.
 
 use std::collections::BTreeMap;
 
@@ -15,44 +15,44 @@
 use crate::rows;
 use crate::tree::{Node, SettingsTree};
 
-/// Calls that may fail before the committer gives up.
+/// Number of failed calls after which the committer gives up.
 pub const MAX_COMMIT_ATTEMPTS: u32 = 8;
 
-/// What the driver does next.
+/// The next step to be performed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitStep {
     /// Make this call and pass the reply to [`Committer::on_reply`].
     Call(TableRequest),
-    /// Wait for a backoff of the given attempt, then make the call.
+    /// Wait for the backoff delay of the given attempt, then make the call.
     Backoff {
-        /// Counts the failed calls from one.
+        /// Number of failed calls so far, at least one.
         attempt: u32,
-        /// The call to make then.
+        /// The call to make after the delay.
         call: TableRequest,
     },
-    /// The end.
+    /// The commit has ended with this outcome.
     Done(CommitOutcome),
 }
 
-/// What the operator is told.
+/// The outcome of a commit, as reported to the operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitOutcome {
     /// The change is in the log.
     Accepted(LogEntry),
-    /// The same change id was accepted earlier.
+    /// A change with the same id was accepted earlier, with this version.
     AlreadyAccepted(SettingsVersion),
-    /// A node changed since the base; nothing was written.
+    /// A node has changed since the base version. Nothing was written.
     Conflict {
-        /// The node.
+        /// The conflicting node.
         path: NodePath,
-        /// The version that changed it last.
+        /// The version that last changed the node.
         version: SettingsVersion,
     },
-    /// The change does not fit the tree; nothing was written.
+    /// The change is not valid for the tree. Nothing was written.
     Invalid(SettingsError),
-    /// The store refused every try; nothing was written.
+    /// The store rejected all attempts. Nothing was written.
     NotApplied,
-    /// A commit's answer was lost and the store cannot be asked. Ask again with the change id.
+    /// The reply to a commit was lost and the store cannot be read. Retry with the same change id.
     OutcomeUnknown,
 }
 
@@ -62,26 +62,26 @@
     Committing(LogEntry),
 }
 
-/// Commits one change. Create, [`start`](Self::start), then feed replies until done.
+/// Commits one change. Call [`start`](Self::start), then pass in replies until it is done.
 #[derive(Debug, Clone)]
 pub struct Committer {
     change: Change,
     tree: SettingsTree,
     state: State,
-    tries: u32,
+    failed_calls: u32,
     maybe_applied: bool,
     first_seen: BTreeMap<NodePath, SettingsVersion>,
 }
 
 impl Committer {
-    /// A committer that checks the change against `tree`, the replica's, as the nodes around the
-    /// edited ones; the edited nodes themselves are read from the store.
+    /// Creates a committer that validates the change against `tree`, the tree of the local replica. The edited
+    /// nodes themselves are read from the store.
     pub fn new(change: Change, tree: SettingsTree) -> Self {
         Self {
             change,
             tree,
             state: State::Reading,
-            tries: 0,
+            failed_calls: 0,
             maybe_applied: false,
             first_seen: BTreeMap::new(),
         }
@@ -104,10 +104,10 @@
             }
             (Err(e), State::Committing(_)) => {
                 self.maybe_applied |= e == TableError::OutcomeUnknown;
-                self.read_again()
+                self.retry_read()
             }
-            // Whatever else holds now, the rows read next tell.
-            (Ok(_) | Err(_), _) => self.read_again(),
+            // Any other reply says nothing certain, so the rows are read again.
+            (Ok(_) | Err(_), _) => self.retry_read(),
         }
     }
 
@@ -118,10 +118,10 @@
         TableRequest::Read { keys }
     }
 
-    fn read_again(&mut self) -> CommitStep {
-        self.tries += 1;
-        if self.tries < MAX_COMMIT_ATTEMPTS {
-            return CommitStep::Backoff { attempt: self.tries, call: self.read() };
+    fn retry_read(&mut self) -> CommitStep {
+        self.failed_calls += 1;
+        if self.failed_calls < MAX_COMMIT_ATTEMPTS {
+            return CommitStep::Backoff { attempt: self.failed_calls, call: self.read() };
         }
         CommitStep::Done(if self.maybe_applied {
             CommitOutcome::OutcomeUnknown
@@ -136,7 +136,7 @@
             return CommitStep::Done(CommitOutcome::AlreadyAccepted(version));
         }
         let nodes = self.read_nodes(found);
-        if let Some(conflict) = self.conflict(&nodes) {
+        if let Some(conflict) = self.find_conflict(&nodes) {
             return CommitStep::Done(conflict);
         }
         for (path, (_, node)) in &nodes {
@@ -157,8 +157,8 @@
         self.change.paths().into_iter().map(read).collect()
     }
 
-    /// A node that moved since the named base, or since this committer first read it.
-    fn conflict(
+    /// Returns a conflict if a node has changed since the base version, or since this committer first read it.
+    fn find_conflict(
         &mut self,
         nodes: &BTreeMap<NodePath, (Option<RowVersion>, Node)>,
     ) -> Option<CommitOutcome> {
@@ -193,7 +193,7 @@
             rows::put(change_key, &version, ttl),
         ];
         for (path, (row_version, mut node)) in nodes {
-            node.edit(&path, &self.change.edits);
+            node.apply_edits(&path, &self.change.edits);
             node.version = version;
             conditions.push(condition(rows::node_key(&path), row_version));
             writes.push(rows::put(rows::node_key(&path), &node, None));
--- a/crates/ringbend-settings/src/configs/mod.rs
+++ b/crates/ringbend-settings/src/configs/mod.rs
@@ -1,4 +1,4 @@
-//! One settings struct per feature, with every default in its `Default`.
+//! One settings struct per feature. Each struct's `Default` holds the default values.
 
 mod admission;
 mod class;
@@ -16,7 +16,7 @@
 
 use crate::effective::RangeError;
 
-/// Checks that a value lies in its range.
+/// Checks that a value is within its range.
 fn in_range(key: &'static str, value: u64, min: u64, max: u64) -> Result<(), RangeError> {
     if (min..=max).contains(&value) {
         return Ok(());
--- a/crates/ringbend-settings/src/configs/routing.rs
+++ b/crates/ringbend-settings/src/configs/routing.rs
@@ -1,4 +1,4 @@
-//! Settings of endpoint choice.
+//! Settings of endpoint selection.
 
 use std::fmt;
 use std::str::FromStr;
@@ -25,7 +25,7 @@
     PrefixAffinity,
 }
 
-/// The text names no way of choosing.
+/// The string is not the name of an endpoint selection strategy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseChoiceError;
 
@@ -39,7 +39,7 @@
 impl std::error::Error for ParseChoiceError {}
 
 impl ChoiceKind {
-    /// All of them.
+    /// All strategies.
     pub const ALL: [Self; 5] = [
         Self::RoundRobin,
         Self::LeastOutstanding,
@@ -48,7 +48,7 @@
         Self::PrefixAffinity,
     ];
 
-    /// The name in settings.
+    /// The name of the strategy in settings.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RoundRobin => "round-robin",
--- a/crates/ringbend-settings/src/configs/timeouts.rs
+++ b/crates/ringbend-settings/src/configs/timeouts.rs
@@ -1,4 +1,4 @@
-//! Settings of time bounds.
+//! Settings of timeouts.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/ringbend-settings/src/effective.rs
+++ b/crates/ringbend-settings/src/effective.rs
@@ -1,4 +1,4 @@
-//! The settings in force at one node, and the registry of features.
+//! The effective settings of a node, and the list of features.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
     AdmissionConfig, ClassConfig, LimitsConfig, RetriesConfig, RoutingConfig, TimeoutsConfig,
 };
 
-/// The features that have settings, in the order of the documentation.
+/// The features that have settings, in the order of their documentation.
 pub const FEATURES: [&str; 6] = ["admission", "class", "limits", "retries", "routing", "timeouts"];
 
 /// All settings in force at one node.
@@ -32,11 +32,11 @@
 }
 
 impl EffectiveSettings {
-    /// Checks every feature's ranges.
+    /// Checks that all values are within their ranges.
     ///
     /// # Errors
     ///
-    /// The first value that is out of range, with what is allowed.
+    /// Returns the first value that is out of range, with its allowed range.
     pub fn check(&self) -> Result<(), RangeError> {
         FEATURES.iter().try_for_each(|feature| self.check_feature(feature))
     }
@@ -54,17 +54,17 @@
     }
 }
 
-/// The JSON schema of the settings of a node.
+/// The JSON schema of the effective settings of a node.
 pub fn schema() -> schemars::Schema {
     schemars::schema_for!(EffectiveSettings)
 }
 
-/// A value outside its range.
+/// A value is outside its allowed range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RangeError {
     /// The setting's key.
     pub key: &'static str,
-    /// The value given.
+    /// The rejected value.
     pub value: u64,
     /// The smallest value allowed.
     pub min: u64,
--- a/crates/ringbend-settings/src/key.rs
+++ b/crates/ringbend-settings/src/key.rs
@@ -1,4 +1,4 @@
-//! Names of settings, `feature.setting`, and what can be wrong with one.
+//! Setting keys of the form `feature.setting`, and the errors of settings changes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,21 +10,21 @@
 use crate::effective::{EffectiveSettings, RangeError};
 use crate::path::NodePath;
 
-/// A name must be at least this alike to be suggested (Jaro-Winkler, 0 to 1).
-const SUGGEST_FROM: f64 = 0.75;
+/// Minimum similarity of a suggested name (Jaro-Winkler, from 0 to 1).
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// The name of one setting that exists.
+/// The key of an existing setting.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SettingKey(Arc<str>);
 
 impl SettingKey {
-    /// The key as text.
+    /// The key as a string.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The feature and the setting's name in it.
+    /// Splits the key into the feature and the name of the setting.
     pub fn parts(&self) -> (&str, &str) {
         self.0.split_once('.').unwrap_or((&self.0, ""))
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Every key that exists, sorted.
+/// The keys of all settings, sorted.
 pub fn known_keys() -> &'static [String] {
     static KEYS: LazyLock<Vec<String>> = LazyLock::new(|| {
         let defaults = serde_json::to_value(EffectiveSettings::default()).unwrap_or(Value::Null);
@@ -78,44 +78,44 @@
     &KEYS
 }
 
-/// The name most like `text`, when one is alike enough.
+/// The name most similar to `text`, if one is similar enough to be suggested.
 pub fn closest_match<'a>(text: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names
         .map(|name| (strsim::jaro_winkler(text, name), name))
-        .filter(|(likeness, _)| *likeness >= SUGGEST_FROM)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, name)| name)
 }
 
-/// What is wrong with a settings change.
+/// The reason why a settings change is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsError {
-    /// No setting has this name.
+    /// There is no setting with this key.
     UnknownKey {
-        /// The name given.
+        /// The unknown key.
         key: Arc<str>,
-        /// The nearest name that exists.
+        /// The most similar key that exists.
         suggestion: Option<Arc<str>>,
     },
-    /// The value has the wrong type or is not one of the allowed words.
+    /// The value has the wrong type or is not one of the allowed values.
     BadValue {
-        /// Where.
+        /// The edited node.
         path: NodePath,
-        /// The setting's name.
+        /// The key of the setting.
         key: SettingKey,
-        /// The value given, as JSON.
+        /// The rejected value, as JSON.
         value: Arc<str>,
-        /// What the setting takes.
+        /// Describes what the setting accepts.
         expected: Arc<str>,
     },
-    /// The value is out of range, alone or beside others in force at the node.
+    /// The value is out of range, on its own or in combination with other settings of the node.
     OutOfRange {
-        /// The node at which the check failed; it may lie below the edited one.
+        /// The node at which the check failed, which may be a descendant of the edited one.
         path: NodePath,
-        /// The value and what is allowed.
+        /// The value and its allowed range.
         range: RangeError,
     },
-    /// A change without edits.
+    /// The change has no edits.
     Empty,
 }
 
--- a/crates/ringbend-settings/src/lib.rs
+++ b/crates/ringbend-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The inherited settings tree: fleet, client account, service, request class.
+//! The hierarchical settings tree, with the levels fleet, client account, service and request class.
 //!
-//! A node names only what it overrides; everything else comes from its parent, and at the top
-//! from each feature's `Default`. Changes are committed through the platform's table service by
-//! [`Committer`] and spread by [`Syncer`] and [`Replica`]. All of it is free of I/O.
+//! A node contains only its overrides and inherits all other values from its parent. The root inherits from
+//! the `Default` of each feature. [`Committer`] commits changes through the platform's table service, and
+//! [`Syncer`] and [`Replica`] distribute them. Nothing here does I/O.
 
 mod change;
 mod commit;
--- a/crates/ringbend-settings/src/path.rs
+++ b/crates/ringbend-settings/src/path.rs
@@ -1,4 +1,4 @@
-//! Places in the settings tree.
+//! Paths of nodes in the settings tree.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use ringbend_types::{ClassName, ClientAccountId, ParseIdError, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// A node of the tree: `/` is the fleet, `/ACCOUNT`, `/ACCOUNT/SERVICE`, `/ACCOUNT/SERVICE/CLASS`.
+/// The path of a node: `/` is the fleet, `/ACCOUNT`, `/ACCOUNT/SERVICE`, `/ACCOUNT/SERVICE/CLASS`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum NodePath {
@@ -21,7 +21,7 @@
 }
 
 impl NodePath {
-    /// The node this one inherits from.
+    /// The path of the node that this one inherits from.
     pub fn parent(&self) -> Option<Self> {
         match self {
             Self::Fleet => None,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The nodes from the fleet down to this one.
+    /// The paths from the root down to this one, both included.
     pub fn path_from_root(&self) -> Vec<Self> {
         let mut nodes = vec![self.clone()];
         while let Some(parent) = nodes.last().and_then(Self::parent) {
@@ -43,7 +43,7 @@
         nodes
     }
 
-    /// Whether `other` is this node or below it.
+    /// Whether `other` is this node or one of its descendants.
     pub fn covers(&self, other: &Self) -> bool {
         other.path_from_root().contains(self)
     }
@@ -60,23 +60,23 @@
     }
 }
 
-/// Why a text is not a place in the tree.
+/// The reason why a string is not a path in the settings tree.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ParseNodePathError {
-    /// It does not start with `/`.
+    /// The path does not start with `/`.
     NoSlash,
-    /// It has more than three levels below the fleet.
+    /// The path has more than three levels.
     TooDeep,
-    /// One part is not an identifier.
-    Part(ParseIdError),
+    /// A segment of the path is not an identifier.
+    InvalidSegment(ParseIdError),
 }
 
 impl fmt::Display for ParseNodePathError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoSlash => write!(f, "a path starts with '/'"),
-            Self::TooDeep => write!(f, "a path has at most /ACCOUNT/SERVICE/CLASS"),
-            Self::Part(e) => write!(f, "a part of the path: {e}"),
+            Self::NoSlash => write!(f, "the path must start with '/'"),
+            Self::TooDeep => write!(f, "the path has more levels than /ACCOUNT/SERVICE/CLASS"),
+            Self::InvalidSegment(e) => write!(f, "invalid path segment: {e}"),
         }
     }
 }
@@ -85,7 +85,7 @@
 
 impl From<ParseIdError> for ParseNodePathError {
     fn from(e: ParseIdError) -> Self {
-        Self::Part(e)
+        Self::InvalidSegment(e)
     }
 }
 
--- a/crates/ringbend-settings/src/replica.rs
+++ b/crates/ringbend-settings/src/replica.rs
@@ -1,4 +1,4 @@
-//! One instance's copy of the tree. Its version only rises.
+//! One instance's replica of the settings tree. Its version never decreases.
 
 use std::collections::VecDeque;
 
@@ -8,21 +8,21 @@
 use crate::change::LogEntry;
 use crate::tree::SettingsTree;
 
-/// Log entries kept for peers and for the history.
-const ENTRIES_KEPT: usize = 512;
+/// Maximum number of log entries kept for peers and for the history.
+const MAX_LOG_ENTRIES: usize = 512;
 
-/// What came of applying a log entry.
+/// The result of applying a log entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// The entry is now in force.
     Applied,
-    /// The replica had it already.
+    /// The entry had already been applied.
     AlreadyApplied,
-    /// Entries before it are missing; read the log or a snapshot.
+    /// Earlier entries are missing. The log or a snapshot has to be read.
     Gap,
 }
 
-/// A whole tree at one version.
+/// The complete tree at one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The version.
@@ -31,7 +31,7 @@
     pub tree: SettingsTree,
 }
 
-/// The tree in force at this instance, with the latest log entries.
+/// The tree in force at this instance, along with the latest log entries.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     current: Snapshot,
@@ -65,13 +65,13 @@
         self.current.tree.apply(entry);
         self.current.version = entry.version;
         self.entries.push_back(entry.clone());
-        if self.entries.len() > ENTRIES_KEPT {
+        if self.entries.len() > MAX_LOG_ENTRIES {
             self.entries.pop_front();
         }
         ApplyOutcome::Applied
     }
 
-    /// Takes a snapshot when it is newer; returns whether it was.
+    /// Replaces the tree by a snapshot if the snapshot is newer. Returns whether it was.
     pub fn load(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.version <= self.current.version {
             return false;
@@ -81,7 +81,7 @@
         true
     }
 
-    /// The entries after `version`, or `None` when some are no longer kept.
+    /// The log entries after `version`, or `None` if some of them are no longer kept.
     pub fn entries_after(&self, version: SettingsVersion) -> Option<Vec<LogEntry>> {
         if version >= self.current.version {
             return Some(Vec::new());
@@ -93,8 +93,8 @@
         Some(self.entries.iter().filter(|e| e.version > version).cloned().collect())
     }
 
-    /// The latest entries, newest first.
-    pub fn history(&self, most: usize) -> Vec<LogEntry> {
-        self.entries.iter().rev().take(most).cloned().collect()
+    /// The latest log entries, newest first.
+    pub fn history(&self, max: usize) -> Vec<LogEntry> {
+        self.entries.iter().rev().take(max).cloned().collect()
     }
 }
--- a/crates/ringbend-settings/src/rows.rs
+++ b/crates/ringbend-settings/src/rows.rs
@@ -1,11 +1,11 @@
-//! How the tree lies in the table service.
+//! Layout of the settings in the table service.
 //!
 //! | row | value |
 //! |---|---|
 //! | `settings/head` | the version in force |
 //! | `settings/node/PATH` | a [`Node`] as JSON |
 //! | `settings/log/VERSION` | a [`LogEntry`] as JSON, kept for [`LOG_TTL_S`] |
-//! | `settings/change/ID` | the version that the change made, kept for [`LOG_TTL_S`] |
+//! | `settings/change/ID` | the version created by the change, kept for [`LOG_TTL_S`] |
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::path::NodePath;
 use crate::tree::Node;
 
-/// How long log and change rows are kept, in seconds: thirty days.
+/// Time to live of log and change rows, in seconds (30 days).
 pub(crate) const LOG_TTL_S: u64 = 30 * 24 * 3600;
 
 pub(crate) const NODE_PREFIX: &str = "settings/node";
@@ -49,7 +49,7 @@
     rows.iter().find(|row| row.key == *key)
 }
 
-/// The row's value, or `None` when a row of another release does not parse.
+/// The value of a row, or `None` if it is malformed, as a row of another release may be.
 pub(crate) fn value<T: DeserializeOwned>(row: &Row) -> Option<T> {
     serde_json::from_str(&row.value).ok()
 }
--- a/crates/ringbend-settings/src/sync.rs
+++ b/crates/ringbend-settings/src/sync.rs
@@ -1,5 +1,5 @@
-//! Brings a replica up to the store: one read when nothing changed, the log when little did, the
-//! nodes when the log no longer reaches back.
+//! Synchronizes a replica with the store. This takes a single read if nothing has changed, reads the log
+//! after few changes, and reads all nodes if the log does not reach back far enough.
 
 use ringbend_platform::{Row, RowKey, TableReply, TableRequest};
 use ringbend_types::SettingsVersion;
@@ -8,17 +8,17 @@
 use crate::rows;
 use crate::tree::SettingsTree;
 
-/// Rows read per scan.
-const PAGE: usize = 200;
+/// Number of rows per scan.
+const PAGE_SIZE: usize = 200;
 
-/// What the driver does next.
+/// The next step to be performed by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SyncStep {
     /// Make this call and pass the reply to [`Syncer::on_reply`].
     Call(TableRequest),
-    /// The replica has what the store had at the first read.
+    /// The replica is up to date with the state of the store at the first read.
     UpToDate,
-    /// The reply made no sense here; poll again later.
+    /// The reply was unexpected. The sync has to be retried later.
     Failed,
 }
 
@@ -30,7 +30,7 @@
     Nodes { head: SettingsVersion, tree: SettingsTree },
 }
 
-/// One poll of the store. [`start`](Self::start), then feed replies.
+/// One poll of the store. Call [`start`](Self::start), then pass in replies.
 #[derive(Debug, Clone)]
 pub struct Syncer {
     state: State,
@@ -73,7 +73,7 @@
         SyncStep::Call(TableRequest::Scan {
             prefix: rows::LOG_PREFIX.into(),
             after: Some(rows::log_key(after)),
-            limit: PAGE,
+            limit: PAGE_SIZE,
         })
     }
 
@@ -97,11 +97,11 @@
     ) -> SyncStep {
         self.state = State::Nodes { head, tree };
         let prefix = rows::NODE_PREFIX.into();
-        SyncStep::Call(TableRequest::Scan { prefix, after, limit: PAGE })
+        SyncStep::Call(TableRequest::Scan { prefix, after, limit: PAGE_SIZE })
     }
 
-    /// Nodes written during the scan carry later versions; the log entries up to them are applied
-    /// by the next poll, which leaves such nodes as they are.
+    /// Nodes that were written during the scan have later versions. The next poll applies the log entries up
+    /// to these versions and leaves such nodes unchanged.
     fn on_nodes(
         &mut self,
         replica: &mut Replica,
@@ -113,7 +113,7 @@
             tree.put(path, node);
         }
         match found.last() {
-            Some(last) if found.len() == PAGE => {
+            Some(last) if found.len() == PAGE_SIZE => {
                 self.scan_nodes(Some(last.key.clone()), head, tree)
             }
             _ => {
--- a/crates/ringbend-settings/src/tree.rs
+++ b/crates/ringbend-settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree itself: overrides by node, inheritance, explanation, difference.
+//! The settings tree: overrides per node, inheritance, explanations and diffs.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
 use crate::key::{SettingKey, SettingsError, known_keys};
 use crate::path::NodePath;
 
-/// One node's overrides.
+/// A node with its overrides.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// The last version that edited the node.
+    /// The version that last edited the node.
     pub version: SettingsVersion,
-    /// What the node overrides.
+    /// The overridden settings and their values.
     pub overrides: BTreeMap<SettingKey, Value>,
 }
 
 impl Node {
-    /// Applies the edits that speak of this node.
-    pub(crate) fn edit(&mut self, path: &NodePath, edits: &[Edit]) {
+    /// Applies those edits that refer to this node.
+    pub(crate) fn apply_edits(&mut self, path: &NodePath, edits: &[Edit]) {
         for edit in edits.iter().filter(|edit| edit.path == *path) {
             match &edit.value {
                 Some(value) => self.overrides.insert(edit.key.clone(), value.clone()),
@@ -32,14 +32,14 @@
     }
 }
 
-/// Where the value of a setting comes from.
+/// The value of a setting and its origin.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The setting.
     pub key: SettingKey,
-    /// Its value at the node asked for.
+    /// The value at the requested node.
     pub value: Value,
-    /// The node that set it; `None` is the built-in default.
+    /// The node that set the value, or `None` for the built-in default.
     pub from: Option<NodePath>,
 }
 
@@ -54,19 +54,19 @@
     pub right: Value,
 }
 
-/// The overrides of all nodes.
+/// The nodes of the settings tree.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SettingsTree {
     nodes: BTreeMap<NodePath, Node>,
 }
 
 impl SettingsTree {
-    /// The node at `path`, when it overrides or once overrode anything.
+    /// The node at `path`, if it has or ever had overrides.
     pub fn node(&self, path: &NodePath) -> Option<&Node> {
         self.nodes.get(path)
     }
 
-    /// All nodes, in order.
+    /// All nodes, ordered by path.
     pub fn nodes(&self) -> impl Iterator<Item = (&NodePath, &Node)> {
         self.nodes.iter()
     }
@@ -75,24 +75,24 @@
         self.nodes.insert(path, node);
     }
 
-    /// Applies a log entry to each node that has not seen it yet.
+    /// Applies a log entry to each edited node that does not contain it yet.
     pub(crate) fn apply(&mut self, entry: &LogEntry) {
         for path in entry.change.paths() {
             let node = self.nodes.entry(path.clone()).or_default();
             if node.version < entry.version {
-                node.edit(&path, &entry.change.edits);
+                node.apply_edits(&path, &entry.change.edits);
                 node.version = entry.version;
             }
         }
     }
 
-    /// The settings in force at `path`. Overrides were checked when they were accepted; one that
-    /// no longer parses, after an upgrade, falls back to the default of its feature.
+    /// The effective settings at `path`. Overrides were validated when they were accepted. One that can no
+    /// longer be parsed, after an upgrade, falls back to the defaults.
     pub fn effective(&self, path: &NodePath) -> EffectiveSettings {
         serde_json::from_value(self.merged(path)).unwrap_or_default()
     }
 
-    /// Every setting at `path`, with the node that set it.
+    /// All settings at `path`, with the nodes that set them.
     pub fn explain(&self, path: &NodePath) -> Vec<Explanation> {
         let merged = self.merged(path);
         let keys = known_keys().iter().filter_map(|key| key.parse::<SettingKey>().ok());
@@ -114,11 +114,11 @@
             .collect()
     }
 
-    /// Checks a change against the tree as it would be after it.
+    /// Validates the tree that would result from a change.
     ///
     /// # Errors
     ///
-    /// The first edit that does not hold, with its path, value and what is allowed.
+    /// Returns the first invalid edit, with its path, its value and what is allowed.
     pub fn check(&self, change: &Change) -> Result<(), SettingsError> {
         if change.edits.is_empty() {
             return Err(SettingsError::Empty);
@@ -126,7 +126,7 @@
         let mut after = self.clone();
         for path in change.paths() {
             let node = after.nodes.entry(path.clone()).or_default();
-            node.edit(&path, &change.edits);
+            node.apply_edits(&path, &change.edits);
         }
         change.edits.iter().try_for_each(check_type)?;
         let edited = change.paths();
@@ -157,7 +157,7 @@
     }
 }
 
-/// Checks that the value alone has the setting's type.
+/// Checks that the value of an edit has the type of the setting.
 fn check_type(edit: &Edit) -> Result<(), SettingsError> {
     let Some(value) = &edit.value else { return Ok(()) };
     let (feature, name) = edit.key.parts();
--- a/crates/ringbend-settings/tests/commit.rs
+++ b/crates/ringbend-settings/tests/commit.rs
@@ -1,4 +1,4 @@
-//! Changes through the table service: crossing, lost answers, outages.
+//! Commits through the table service under concurrent changes, lost replies and outages.
 
 mod support;
 
@@ -6,14 +6,14 @@
 use ringbend_models::TableFaults;
 use ringbend_settings::{ApplyOutcome, CommitOutcome, Replica};
 use ringbend_types::SettingsVersion;
-use support::{commit, faulty, path, set, sync, table};
+use support::{commit, faulty_table, path, set, sync, table};
 
 fn weight(replica: &Replica, at: &str) -> u32 {
     replica.tree().effective(&path(at)).limits.weight
 }
 
 #[test]
-fn changes_of_different_nodes_both_land() {
+fn changes_of_different_nodes_are_both_applied() {
     let (mut table, mut replica) = (table(), Replica::default());
     assert!(matches!(commit(&mut table, set("a", "/x", 1), &replica), CommitOutcome::Accepted(_)));
     assert!(matches!(commit(&mut table, set("b", "/y", 2), &replica), CommitOutcome::Accepted(_)));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_change_on_an_old_base_conflicts_and_writes_nothing() {
+fn a_change_with_an_outdated_base_conflicts_and_writes_nothing() {
     let (mut table, mut replica) = (table(), Replica::default());
     commit(&mut table, set("a", "/x", 1), &replica);
     let mut late = set("b", "/x", 2);
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn a_lost_answer_is_found_again_and_the_change_lands_once() {
-    let mut table = faulty(TableFaults { lose_answers: 1, ..TableFaults::default() });
+fn a_change_whose_reply_was_lost_is_found_and_applied_once() {
+    let mut table = faulty_table(TableFaults { lose_answers: 1, ..TableFaults::default() });
     let mut replica = Replica::default();
     let outcome = commit(&mut table, set("a", "/x", 1), &replica);
     assert_eq!(outcome, CommitOutcome::AlreadyAccepted(SettingsVersion(1)));
@@ -46,15 +46,16 @@
 
 #[test]
 fn an_outage_is_reported_as_not_applied() {
-    let mut table = faulty(TableFaults { outage: true, ..TableFaults::default() });
+    let mut table = faulty_table(TableFaults { outage: true, ..TableFaults::default() });
     let outcome = commit(&mut table, set("a", "/x", 1), &Replica::default());
     assert_eq!(outcome, CommitOutcome::NotApplied);
 }
 
 #[test]
-fn an_unknown_outcome_is_never_reported_as_refused() {
-    // Every commit is lost without effect; the operator cannot be told "refused" all the same.
-    let mut table = faulty(TableFaults { lose_commits: u32::MAX, ..TableFaults::default() });
+fn an_unknown_outcome_is_never_reported_as_rejected() {
+    // All commits are lost without effect, but the committer cannot know that, so it must not report the
+    // change as rejected.
+    let mut table = faulty_table(TableFaults { lose_commits: u32::MAX, ..TableFaults::default() });
     let replica = Replica::default();
     assert_eq!(commit(&mut table, set("a", "/x", 1), &replica), CommitOutcome::OutcomeUnknown);
     table.faults = TableFaults::default();
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_replica_behind_the_log_takes_the_nodes() {
+fn a_replica_that_is_behind_the_log_reads_the_nodes() {
     let (mut table, replica) = (table(), Replica::default());
     for n in 0..600 {
         commit(&mut table, set(&format!("c{n}"), &format!("/a{}", n % 7), n + 1), &replica);
@@ -76,19 +77,19 @@
     let mut late = Replica::default();
     sync(&mut table, &mut late);
     assert_eq!(late.version(), SettingsVersion(600));
-    // Change 599 was the last of account 4: 599 % 7 == 4.
+    // Change 599 was the last one of account 4, because 599 % 7 == 4.
     assert_eq!(weight(&late, "/a4"), 600);
 }
 
-/// Whatever entries and snapshots arrive in whatever order, the version never falls, and a
-/// replica at the last version has exactly the last value.
-fn never_falls(order: Vec<(u8, bool)>) -> TestResult {
+/// For all orders in which entries and snapshots arrive, the version never decreases, and a replica at a
+/// given version is equal to the snapshot of that version.
+fn version_never_decreases(order: Vec<(u8, bool)>) -> TestResult {
     let (mut table, mut source) = (table(), Replica::default());
     let mut entries = Vec::new();
     let mut snapshots = Vec::new();
     for n in 0..12_u32 {
-        let one = set(&format!("c{n}"), &format!("/a{}", n % 3), n + 1);
-        match commit(&mut table, one, &source) {
+        let change = set(&format!("c{n}"), &format!("/a{}", n % 3), n + 1);
+        match commit(&mut table, change, &source) {
             CommitOutcome::Accepted(entry) => entries.push(entry),
             _ => return TestResult::failed(),
         }
@@ -96,15 +97,15 @@
         snapshots.push(source.snapshot().clone());
     }
     let mut replica = Replica::default();
-    for (at, whole) in order {
+    for (at, is_snapshot) in order {
         let before = replica.version();
         let at = usize::from(at) % entries.len();
-        let taken = if whole {
+        let applied = if is_snapshot {
             replica.load(snapshots[at].clone())
         } else {
             replica.apply(&entries[at]) == ApplyOutcome::Applied
         };
-        if replica.version() < before || taken != (replica.version() > before) {
+        if replica.version() < before || applied != (replica.version() > before) {
             return TestResult::failed();
         }
         let expected = snapshots.get(replica.version().0.wrapping_sub(1) as usize);
@@ -116,7 +117,9 @@
 }
 
 #[test]
-fn the_version_in_force_never_falls() {
+fn the_version_in_force_never_decreases() {
     let seeded = Gen::from_size_and_seed(60, 7);
-    QuickCheck::new().rng(seeded).quickcheck(never_falls as fn(Vec<(u8, bool)>) -> TestResult);
+    QuickCheck::new()
+        .rng(seeded)
+        .quickcheck(version_never_decreases as fn(Vec<(u8, bool)>) -> TestResult);
 }
--- a/crates/ringbend-settings/tests/exhaustive.rs
+++ b/crates/ringbend-settings/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! Two operators change the same node, and every interleaving of their calls with every fault of
-//! the store is walked. The naive committer, which reads and writes without conditions and retries
-//! on any error, is walked in the same way and must break the promise.
+//! Exhaustive test of two operators that change the same node. All interleavings of their calls with all
+//! faults of the store are explored. A naive committer, which reads and writes without conditions and
+//! retries on any error, is explored in the same way and must violate the guarantees.
 
 mod support;
 
@@ -11,32 +11,32 @@
 use ringbend_settings::{CommitOutcome, CommitStep, Committer, LogEntry, SettingsTree};
 use support::{call, set, table};
 
-/// Faults in one walk at most.
-const MOST_FAULTS: u32 = 2;
+/// Maximum number of faults in one execution.
+const MAX_FAULTS: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum CallOutcome {
     Answered,
-    AnswerLost,
+    ReplyLost,
     CommitLost,
-    Refused,
+    Rejected,
 }
 
-/// What one operator's program does next, and what it was told in the end.
+/// The program of one operator: its next call, and the outcome that it reported.
 trait Operator: Clone {
     fn next(&self) -> Option<TableRequest>;
     fn reply(&mut self, reply: Result<TableReply, TableError>);
-    /// `Some(true)` told accepted, `Some(false)` told not applied.
-    fn told(&self) -> Option<bool>;
+    /// `Some(true)` if the change was reported as accepted, `Some(false)` if reported as not applied.
+    fn reported(&self) -> Option<bool>;
 }
 
 #[derive(Clone)]
-struct Ringbend {
+struct ConditionalCommitter {
     committer: Committer,
     step: CommitStep,
 }
 
-impl Ringbend {
+impl ConditionalCommitter {
     fn new(id: &str, weight: u32) -> Self {
         let mut committer = Committer::new(set(id, "/x", weight), SettingsTree::default());
         let step = committer.start();
@@ -44,7 +44,7 @@
     }
 }
 
-impl Operator for Ringbend {
+impl Operator for ConditionalCommitter {
     fn next(&self) -> Option<TableRequest> {
         match &self.step {
             CommitStep::Call(call) | CommitStep::Backoff { call, .. } => Some(call.clone()),
@@ -56,7 +56,7 @@
         self.step = self.committer.on_reply(reply);
     }
 
-    fn told(&self) -> Option<bool> {
+    fn reported(&self) -> Option<bool> {
         match &self.step {
             CommitStep::Done(CommitOutcome::Accepted(_) | CommitOutcome::AlreadyAccepted(_)) => {
                 Some(true)
@@ -68,19 +68,19 @@
     }
 }
 
-/// Appends to the log by counting it, without conditions; an error is taken for "not done".
+/// Appends to the log by counting its entries, without conditions, and treats an error as "not applied".
 #[derive(Clone)]
-struct Naive {
+struct NaiveCommitter {
     id: &'static str,
     weight: u32,
     version: Option<u64>,
-    tries: u32,
-    told: Option<bool>,
+    attempts: u32,
+    reported: Option<bool>,
 }
 
-impl Operator for Naive {
+impl Operator for NaiveCommitter {
     fn next(&self) -> Option<TableRequest> {
-        if self.told.is_some() {
+        if self.reported.is_some() {
             return None;
         }
         let Some(version) = self.version else {
@@ -101,25 +101,25 @@
     fn reply(&mut self, reply: Result<TableReply, TableError>) {
         match reply {
             Ok(TableReply::Rows(rows)) => self.version = Some(rows.len() as u64 + 1),
-            Ok(_) => self.told = Some(true),
+            Ok(_) => self.reported = Some(true),
             Err(_) => {
-                self.tries += 1;
+                self.attempts += 1;
                 self.version = None;
-                if self.tries == 2 {
-                    self.told = Some(false);
+                if self.attempts == 2 {
+                    self.reported = Some(false);
                 }
             }
         }
     }
 
-    fn told(&self) -> Option<bool> {
-        self.told
+    fn reported(&self) -> Option<bool> {
+        self.reported
     }
 }
 
-struct Walk {
-    leaves: u64,
-    broken: Vec<String>,
+struct Exploration {
+    final_states: u64,
+    violations: Vec<String>,
 }
 
 fn log(table: &mut TableModel) -> Vec<LogEntry> {
@@ -132,68 +132,99 @@
     }
 }
 
-fn judge(table: &mut TableModel, operators: &[impl Operator; 2], walk: &mut Walk) {
-    walk.leaves += 1;
+fn check_final_state(
+    table: &mut TableModel,
+    operators: &[impl Operator; 2],
+    exploration: &mut Exploration,
+) {
+    exploration.final_states += 1;
     let log = log(table);
     let ids: Vec<&str> = log.iter().map(|e| e.change.id.as_str()).collect();
-    let once: BTreeSet<&str> = ids.iter().copied().collect();
-    if once.len() != ids.len() {
-        walk.broken.push(format!("a change landed twice: {ids:?}"));
+    let unique: BTreeSet<&str> = ids.iter().copied().collect();
+    if unique.len() != ids.len() {
+        exploration.violations.push(format!("a change was applied twice: {ids:?}"));
     }
     if log.iter().enumerate().any(|(n, e)| e.version.0 != n as u64 + 1) {
-        walk.broken.push(format!("versions have gaps: {log:?}"));
+        exploration.violations.push(format!("versions have gaps: {log:?}"));
     }
     for (operator, id) in operators.iter().zip(["a", "b"]) {
-        if operator.told().is_some_and(|accepted| accepted != once.contains(id)) {
-            walk.broken.push(format!("{id} was told {:?}, the log has {ids:?}", operator.told()));
+        if operator.reported().is_some_and(|accepted| accepted != unique.contains(id)) {
+            exploration.violations.push(format!(
+                "{id} was reported as {:?}, the log has {ids:?}",
+                operator.reported()
+            ));
         }
     }
 }
 
-fn step(table: &TableModel, operators: &[impl Operator; 2], faults: u32, walk: &mut Walk) {
-    let mut over = true;
+fn explore(
+    table: &TableModel,
+    operators: &[impl Operator; 2],
+    faults: u32,
+    exploration: &mut Exploration,
+) {
+    let mut is_final = true;
     for at in 0..2 {
         let Some(request) = operators[at].next() else { continue };
-        over = false;
-        for fate in [Fate::Answered, Fate::AnswerLost, Fate::CommitLost, Fate::Refused] {
-            let is_fault = !matches!(fate, Fate::Answered);
-            let lost = matches!(fate, Fate::AnswerLost | Fate::CommitLost);
+        is_final = false;
+        for outcome in [
+            CallOutcome::Answered,
+            CallOutcome::ReplyLost,
+            CallOutcome::CommitLost,
+            CallOutcome::Rejected,
+        ] {
+            let is_fault = !matches!(outcome, CallOutcome::Answered);
+            let lost = matches!(outcome, CallOutcome::ReplyLost | CallOutcome::CommitLost);
             if (is_fault && faults == 0) || (lost && !request.is_write()) {
                 continue;
             }
             let (mut table, mut operators) = (table.clone(), operators.clone());
             table.faults = TableFaults {
-                lose_answers: matches!(fate, Fate::AnswerLost).into(),
-                lose_commits: matches!(fate, Fate::CommitLost).into(),
-                outage: matches!(fate, Fate::Refused),
+                lose_answers: matches!(outcome, CallOutcome::ReplyLost).into(),
+                lose_commits: matches!(outcome, CallOutcome::CommitLost).into(),
+                outage: matches!(outcome, CallOutcome::Rejected),
                 delay_ms: 0,
             };
             let reply = call(&mut table, &request);
             table.faults = TableFaults::default();
             operators[at].reply(reply);
-            step(&table, &operators, faults - u32::from(is_fault), walk);
+            explore(&table, &operators, faults - u32::from(is_fault), exploration);
         }
     }
-    if over {
-        judge(&mut table.clone(), operators, walk);
+    if is_final {
+        check_final_state(&mut table.clone(), operators, exploration);
     }
 }
 
 #[test]
-fn no_interleaving_breaks_a_commit() {
-    let mut walk = Walk { leaves: 0, broken: Vec::new() };
-    let operators = [Ringbend::new("a", 1), Ringbend::new("b", 2)];
-    step(&table(), &operators, MOST_FAULTS, &mut walk);
-    assert!(walk.leaves > 1_000, "only {} ends were reached", walk.leaves);
-    assert!(walk.broken.is_empty(), "{:?}", walk.broken.first());
+fn no_interleaving_violates_the_guarantees() {
+    let mut exploration = Exploration { final_states: 0, violations: Vec::new() };
+    let operators = [ConditionalCommitter::new("a", 1), ConditionalCommitter::new("b", 2)];
+    explore(&table(), &operators, MAX_FAULTS, &mut exploration);
+    assert!(
+        exploration.final_states > 1_000,
+        "only {} final states were reached",
+        exploration.final_states
+    );
+    assert!(exploration.violations.is_empty(), "{:?}", exploration.violations.first());
 }
 
 #[test]
-fn the_naive_committer_breaks() {
-    let naive = |id, weight| Naive { id, weight, version: None, tries: 0, told: None };
-    let mut walk = Walk { leaves: 0, broken: Vec::new() };
-    step(&table(), &[naive("a", 1), naive("b", 2)], MOST_FAULTS, &mut walk);
-    assert!(walk.broken.iter().any(|b| b.contains("twice")), "no change landed twice");
-    assert!(walk.broken.iter().any(|b| b.contains("was told Some(true)")), "none was lost");
-    assert!(walk.broken.iter().any(|b| b.contains("was told Some(false)")), "none was denied");
+fn the_naive_committer_violates_the_guarantees() {
+    let naive =
+        |id, weight| NaiveCommitter { id, weight, version: None, attempts: 0, reported: None };
+    let mut exploration = Exploration { final_states: 0, violations: Vec::new() };
+    explore(&table(), &[naive("a", 1), naive("b", 2)], MAX_FAULTS, &mut exploration);
+    assert!(
+        exploration.violations.iter().any(|b| b.contains("twice")),
+        "no change was applied twice"
+    );
+    assert!(
+        exploration.violations.iter().any(|b| b.contains("was reported as Some(true)")),
+        "no accepted change was lost"
+    );
+    assert!(
+        exploration.violations.iter().any(|b| b.contains("was reported as Some(false)")),
+        "no applied change was reported as not applied"
+    );
 }
--- a/crates/ringbend-settings/tests/pages.rs
+++ b/crates/ringbend-settings/tests/pages.rs
@@ -1,10 +1,10 @@
-//! The pages under `docs/features/` name every setting with its default.
+//! The pages under `docs/features/` document all settings with their defaults.
 
 use ringbend_settings::{EffectiveSettings, FEATURES};
 use serde_json::Value;
 
 #[test]
-fn every_page_has_every_option_with_its_default() {
+fn all_pages_list_all_settings_with_their_defaults() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/features");
     let defaults = serde_json::to_value(EffectiveSettings::default()).unwrap();
     for feature in FEATURES {
--- a/crates/ringbend-settings/tests/support/mod.rs
+++ b/crates/ringbend-settings/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders and a driver without time for the settings tests.
+//! Builders, and functions that run commits and syncs without delays, for the settings tests.
 
 #![allow(dead_code)]
 
@@ -22,7 +22,7 @@
     Change { id: id.parse().unwrap(), author: "test".into(), base: None, edits }
 }
 
-/// A change of one number, for tests that care only about which change won.
+/// A change of a single number, for tests that only check which change took effect.
 pub(crate) fn set(id: &str, at: &str, weight: u32) -> Change {
     change(id, vec![edit(at, "limits.weight", weight.into())])
 }
@@ -31,7 +31,7 @@
     TableModel::new(TableRates { writes_per_s: u32::MAX, reads_per_s: u32::MAX })
 }
 
-pub(crate) fn faulty(faults: TableFaults) -> TableModel {
+pub(crate) fn faulty_table(faults: TableFaults) -> TableModel {
     let mut table = table();
     table.faults = faults;
     table
@@ -44,7 +44,7 @@
     table.call(Timestamp(0), request)
 }
 
-/// Runs a committer to its end.
+/// Runs a committer until it is done.
 pub(crate) fn commit(table: &mut TableModel, change: Change, replica: &Replica) -> CommitOutcome {
     let mut committer = Committer::new(change, replica.tree().clone());
     let mut step = committer.start();
@@ -58,7 +58,7 @@
     }
 }
 
-/// Brings a replica up to the table.
+/// Synchronizes a replica with the table.
 pub(crate) fn sync(table: &mut TableModel, replica: &mut Replica) {
     let mut syncer = Syncer::default();
     let mut step = syncer.start();
--- a/crates/ringbend-settings/tests/tree.rs
+++ b/crates/ringbend-settings/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Inheritance, explanations and checks.
+//! Inheritance, explanations, diffs and validation of the settings tree.
 
 mod support;
 
@@ -9,8 +9,8 @@
 fn replica_with(changes: &[(&str, &str, serde_json::Value)]) -> Replica {
     let (mut table, mut replica) = (table(), Replica::default());
     for (n, (at, key, value)) in changes.iter().enumerate() {
-        let one = change(&format!("c{n}"), vec![edit(at, key, value.clone())]);
-        commit(&mut table, one, &replica);
+        let next = change(&format!("c{n}"), vec![edit(at, key, value.clone())]);
+        commit(&mut table, next, &replica);
         sync(&mut table, &mut replica);
     }
     replica
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn removing_an_override_inherits_again() {
+fn a_node_inherits_again_after_its_override_is_removed() {
     let (mut table, mut replica) = (table(), Replica::default());
     commit(&mut table, set("a", "/", 3), &replica);
     commit(&mut table, set("b", "/peach", 9), &replica);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_the_nearest_name() {
+fn an_unknown_key_is_rejected_with_the_closest_match() {
     let error = "limits.wieght".parse::<ringbend_settings::SettingKey>().unwrap_err();
     assert_eq!(
         error.to_string(),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_value_of_the_wrong_type_is_refused_with_its_place() {
+fn a_value_of_the_wrong_type_is_rejected_with_its_path() {
     let wrong = change("a", vec![edit("/peach", "routing.choice", json!("fastest"))]);
     let error = Replica::default().tree().check(&wrong).unwrap_err().to_string();
     assert!(error.starts_with("/peach routing.choice = \"fastest\""), "{error}");
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn a_value_out_of_range_is_refused_with_what_is_allowed() {
+fn a_value_out_of_range_is_rejected_with_the_allowed_range() {
     let wrong = change("a", vec![edit("/", "class.priority", json!(9))]);
     let error = Replica::default().tree().check(&wrong).unwrap_err();
     assert_eq!(error.to_string(), "at /: class.priority = 9: allowed are 0 to 7");
 }
 
 #[test]
-fn a_change_that_breaks_a_node_below_is_refused() {
+fn a_change_that_invalidates_a_descendant_is_rejected() {
     let replica = replica_with(&[("/peach", "timeouts.deadline_ms", json!(500_000))]);
     let wrong = change("x", vec![edit("/", "timeouts.max_deadline_ms", json!(200_000))]);
     match replica.tree().check(&wrong) {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_schema_names_every_setting() {
+fn the_schema_contains_all_settings() {
     let schema = serde_json::to_string(&schema()).unwrap();
     for key in known_keys() {
         let name = key.split_once('.').unwrap().1;
