--- a/crates/ringbend-membership/src/broadcasts.rs
+++ b/crates/ringbend-membership/src/broadcasts.rs
@@ -1,4 +1,4 @@
-//! News waiting to be piggybacked, least sent first.
+//! The queue of updates to piggyback on messages, least transmitted first.
 
 use std::collections::BTreeMap;
 
@@ -19,15 +19,16 @@
     sent: u32,
 }
 
-/// The news this instance still spreads; newer news of the same subject replaces older.
+/// The updates that this instance still disseminates. A newer update replaces an older one about the same
+/// subject.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BroadcastQueue {
     broadcasts: BTreeMap<Subject, Broadcast>,
 }
 
 impl BroadcastQueue {
-    /// Adds news. Urgent news goes before news of instances that merely exist, which joining
-    /// instances learn from the list that they are sent.
+    /// Adds an update. Urgent updates precede those about instances that are merely alive, because joining
+    /// instances learn about these from the member list.
     pub(crate) fn add(&mut self, update: Update, urgent: bool) {
         let subject = match &update {
             Update::Member { id, .. } => Subject::Member(id.clone()),
@@ -37,13 +38,14 @@
         self.broadcasts.insert(subject, broadcast);
     }
 
-    /// The `most` most urgent, then least sent, updates; each is dropped after `transmissions`.
-    pub(crate) fn take(&mut self, most: usize, transmissions: u32) -> Vec<Update> {
-        let place = |(subject, r): (&Subject, &Broadcast)| (!r.urgent, r.sent, subject.clone());
-        let mut order: Vec<(bool, u32, Subject)> = self.broadcasts.iter().map(place).collect();
+    /// Takes up to `max` updates, urgent ones first, then those transmitted least. An update is removed
+    /// after `transmissions` transmissions.
+    pub(crate) fn take(&mut self, max: usize, transmissions: u32) -> Vec<Update> {
+        let rank = |(subject, b): (&Subject, &Broadcast)| (!b.urgent, b.sent, subject.clone());
+        let mut order: Vec<(bool, u32, Subject)> = self.broadcasts.iter().map(rank).collect();
         order.sort();
         let mut updates = Vec::new();
-        for (_, _, subject) in order.into_iter().take(most) {
+        for (_, _, subject) in order.into_iter().take(max) {
             let Some(broadcast) = self.broadcasts.get_mut(&subject) else { continue };
             updates.push(broadcast.update.clone());
             broadcast.sent += 1;
--- a/crates/ringbend-membership/src/config.rs
+++ b/crates/ringbend-membership/src/config.rs
@@ -1,29 +1,29 @@
-//! Times and sizes of the gossip.
+//! Configuration of the membership gossip.
 
 use std::time::Duration;
 
-/// Bounds of membership gossip.
+/// Intervals, timeouts and sizes of the membership gossip.
 #[derive(Debug, Clone)]
 pub struct MembershipConfig {
-    /// How often one other instance is probed.
+    /// Interval at which one other instance is probed.
     pub probe_interval: Duration,
-    /// How long a direct answer may take before others are asked to probe.
+    /// How long to wait for an acknowledgement of a direct probe before starting indirect probes.
     pub ack_timeout: Duration,
-    /// How many others are asked.
+    /// Number of instances that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// How long a suspected instance has to refute.
+    /// How long a suspected instance has to refute the suspicion before it is considered dead.
     pub suspicion_timeout: Duration,
-    /// How long the dead and gone are remembered, so that old news does not revive them.
+    /// How long dead and departed instances are kept, so that outdated updates do not revive them.
     pub tombstone_retention: Duration,
-    /// Most updates in one message.
+    /// Maximum number of updates in one message.
     pub max_updates_per_message: usize,
-    /// Each update is sent this many times the logarithm of the number of members.
+    /// Each update is sent this many times the binary logarithm of the number of members.
     pub retransmit_multiplier: u32,
-    /// News that cannot wait is pushed to this many others at once.
+    /// Number of instances to which urgent updates are sent immediately.
     pub push_fanout: usize,
-    /// A refutation is passed on to this many others at once.
+    /// Number of instances to which a refutation is forwarded immediately.
     pub refutation_fanout: usize,
-    /// A tick this late means that this instance itself was paused.
+    /// If more time than this passes between two ticks, this instance itself was paused.
     pub pause_threshold: Duration,
 }
 
--- a/crates/ringbend-membership/src/lib.rs
+++ b/crates/ringbend-membership/src/lib.rs
@@ -1,8 +1,10 @@
-//! Which instances are alive, by gossip of constant size per round, without I/O.
+//! Cluster membership and failure detection by a SWIM-style gossip protocol, without I/O. The cost per
+//! round is constant.
 //!
-//! Each round probes one other instance and piggybacks a few updates, the settings version and
-//! notices of leaving endpoints. Suspicion comes before death, and an instance refutes a suspicion
-//! by raising its incarnation. Membership steers load and speeds things up; no promise rests on it.
+//! Each round probes one other instance and piggybacks a few updates, the settings version and notices of
+//! leaving endpoints. An instance is suspected before it is declared dead, and it refutes a suspicion by
+//! incrementing its incarnation. Membership is used for load balancing and for speed only; no guarantee
+//! depends on it.
 
 mod broadcasts;
 mod config;
--- a/crates/ringbend-membership/src/member.rs
+++ b/crates/ringbend-membership/src/member.rs
@@ -1,39 +1,39 @@
-//! One instance as another one sees it.
+//! The state of one instance as seen by another one.
 
 use std::net::SocketAddr;
 
 use ringbend_types::{Incarnation, InstanceId, Timestamp};
 
-/// What an instance is taken for. Later states override earlier ones of the same incarnation.
+/// The state of an instance. Within one incarnation, later states override earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// Answers.
+    /// The instance responds to probes.
     Alive,
-    /// Did not answer, and may yet refute.
+    /// The instance did not respond to a probe and can still refute the suspicion.
     Suspect,
-    /// Says that it is leaving: finishes what it has.
+    /// The instance announced that it is leaving, and finishes its open requests.
     Leaving,
-    /// Did not refute in time, or has left.
+    /// The instance did not refute the suspicion in time, or it has left.
     Dead,
 }
 
-/// One instance as seen here.
+/// One instance as seen by this one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// The instance.
+    /// The id of the instance.
     pub id: InstanceId,
-    /// Where it takes peers' messages.
+    /// The address for messages from peers.
     pub address: SocketAddr,
-    /// Its latest incarnation known.
+    /// The latest known incarnation.
     pub incarnation: Incarnation,
-    /// What it is taken for.
+    /// The current state.
     pub state: MemberState,
-    /// Since when.
+    /// When the member entered this state.
     pub since: Timestamp,
 }
 
 impl Member {
-    /// Whether news with this incarnation and state overrides what is known.
+    /// Whether an update with this incarnation and state overrides the known state.
     pub(crate) fn is_older_than(&self, incarnation: Incarnation, state: MemberState) -> bool {
         (self.incarnation, self.state) < (incarnation, state)
     }
--- a/crates/ringbend-membership/src/membership.rs
+++ b/crates/ringbend-membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The gossip itself.
+//! The gossip protocol, as a state machine without I/O.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,37 +13,37 @@
 use crate::message::{Message, MessageKind, Update};
 use crate::ring::Ring;
 
-/// Random stream of membership within a process.
+/// Number of the random stream that is used for membership.
 const RANDOM_STREAM: u64 = 2;
 
-/// Members in one message to a joining instance.
-const JOIN_PAGE: usize = 64;
+/// Maximum number of members in one message to a joining instance.
+const MAX_MEMBERS_PER_MESSAGE: usize = 64;
 
-/// What happens to membership.
+/// An input of the protocol.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// A message arrived.
     Received(Message),
-    /// This instance now has these settings in force.
+    /// This version of the settings is now in force at this instance.
     Settings(SettingsVersion),
-    /// An endpoint told this instance that it is leaving.
+    /// An endpoint announced to this instance that it is leaving.
     EndpointLeaving(EndpointId),
-    /// This instance begins to leave.
+    /// This instance starts to leave.
     Leave,
 }
 
-/// What the driver does.
+/// An action to be performed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message; loss is expected.
+    /// Send a message, without guaranteed delivery.
     Send(SocketAddr, Message),
-    /// An instance is taken for something else than before.
+    /// The state of an instance has changed.
     Changed(Member),
-    /// A peer has newer settings in force; fetch them from it or from the store.
+    /// A peer has a newer version of the settings in force, to be fetched from it or from the store.
     NewerSettings(InstanceId, SettingsVersion),
-    /// A peer heard from an endpoint that it is leaving.
+    /// A peer reported that an endpoint is leaving.
     EndpointLeaving(EndpointId),
 }
 
@@ -55,7 +55,7 @@
     indirect: bool,
 }
 
-/// A ping made for another instance.
+/// A ping sent on behalf of another instance.
 #[derive(Debug, Clone)]
 struct RelayedProbe {
     sequence: u64,
@@ -64,7 +64,7 @@
     sent: Timestamp,
 }
 
-/// One instance's view of the others.
+/// The view that one instance has of the others.
 #[derive(Debug, Clone)]
 pub struct Membership {
     cfg: MembershipConfig,
@@ -88,7 +88,7 @@
 }
 
 impl Membership {
-    /// A view that knows only itself and the seeds' addresses.
+    /// Creates a view that knows only this instance and the addresses of the seeds.
     pub fn new(
         cfg: MembershipConfig,
         id: InstanceId,
@@ -119,28 +119,28 @@
         }
     }
 
-    /// All members known, this instance left out.
+    /// All known members except this instance.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Members that take part: alive or suspected.
+    /// Members that are alive or suspected.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|m| m.state <= MemberState::Suspect)
     }
 
-    /// How often this instance had to refute its own suspicion.
+    /// The number of suspicions against this instance that it had to refute.
     pub fn refuted_suspicions(&self) -> u64 {
         self.refuted_suspicions
     }
 
-    /// When [`Event::Tick`] is wanted next.
+    /// When the next [`Event::Tick`] is due.
     pub fn next_wakeup(&self) -> Timestamp {
         let ack = self.probe.as_ref().map(|p| p.sent + self.cfg.ack_timeout);
         self.next_probe.min(ack.unwrap_or(Timestamp::NEVER))
     }
 
-    /// Takes an event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// After a pause of this instance, unanswered probes say nothing about the others.
+    /// After a pause of this instance itself, unanswered probes do not indicate failures of others.
     fn detect_own_pause(&mut self, now: Timestamp) {
         let late = self.last_tick.is_some_and(|last| now.since(last) > self.cfg.pause_threshold);
         self.last_tick = Some(now);
@@ -244,14 +244,15 @@
         self.sequence += 1;
         let sequence = self.sequence;
         let address = self.members[&target].address;
-        let suspected = self.suspicion_update(&target);
+        let suspicion = self.suspicion_update(&target);
         self.probe = Some(Probe { target, sequence, sent: now, indirect: false });
         let mut message = self.message(MessageKind::Ping, sequence);
-        message.updates.extend(suspected);
+        message.updates.extend(suspicion);
         actions.push(Action::Send(address, message));
     }
 
-    /// What a suspect is told with each ping, so that it hears of the suspicion and refutes it.
+    /// The update that is included in each ping to a suspect, so that it learns of the suspicion and can
+    /// refute it.
     fn suspicion_update(&self, target: &InstanceId) -> Option<Update> {
         let member = self.members.get(target)?;
         (member.state == MemberState::Suspect).then(|| member_update(member))
@@ -266,13 +267,13 @@
         }
     }
 
-    /// The instances that this one probes and pushes news to.
+    /// The instances that this one probes and sends urgent updates to.
     fn partners(&mut self) -> Vec<InstanceId> {
         let live = self.members.values().filter(|m| m.state <= MemberState::Suspect);
         self.ring.partners(&self.id, live.map(|m| &m.id)).to_vec()
     }
 
-    /// Goes through the partners in a shuffled order, so that each is probed within a round.
+    /// The next partner to probe. Partners are probed in a random order that visits each one once per round.
     fn next_target(&mut self) -> Option<InstanceId> {
         loop {
             if self.round.is_empty() {
@@ -323,7 +324,7 @@
         if self.probe.as_ref().is_some_and(|p| p.sequence == sequence) {
             self.probe = None;
         }
-        if let Some(at) = self.relayed_probes.iter().position(|e| e.sequence == sequence) {
+        if let Some(at) = self.relayed_probes.iter().position(|p| p.sequence == sequence) {
             let probe = self.relayed_probes.swap_remove(at);
             let ack = self.message(MessageKind::Ack, probe.requester_sequence);
             actions.push(Action::Send(probe.requester, ack));
@@ -340,7 +341,7 @@
     ) {
         let Some(address) = self.members.get(target).map(|m| m.address) else { return };
         let timeout = self.cfg.ack_timeout * 3;
-        self.relayed_probes.retain(|e| now.since(e.sent) < timeout);
+        self.relayed_probes.retain(|p| now.since(p.sent) < timeout);
         self.sequence += 1;
         let sequence = self.sequence;
         self.relayed_probes.push(RelayedProbe {
@@ -355,7 +356,7 @@
 
     fn send_members(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
         let updates: Vec<Update> = self.members.values().map(member_update).collect();
-        for page in updates.chunks(JOIN_PAGE) {
+        for page in updates.chunks(MAX_MEMBERS_PER_MESSAGE) {
             let mut message = self.message(MessageKind::News, 0);
             message.updates = page.to_vec();
             actions.push(Action::Send(to, message));
@@ -366,11 +367,12 @@
         }
     }
 
-    /// Takes news in, and spreads it on when it is new here.
+    /// Applies an update, and forwards it if it is new to this instance.
     fn apply_update(&mut self, now: Timestamp, update: Update, actions: &mut Vec<Action>) {
         match &update {
             Update::EndpointLeaving(id) => {
-                // The driver reports back only what it did not know, which then spreads.
+                // The caller reports the endpoint back as an event only if this is new to it, which then
+                // disseminates the update.
                 actions.push(Action::EndpointLeaving(id.clone()));
             }
             Update::Member { id, incarnation, state, .. } if *id == self.id => {
@@ -395,11 +397,11 @@
                     since: now,
                 };
                 self.members.insert(id.clone(), member.clone());
-                self.ring.changed();
+                self.ring.invalidate();
                 actions.push(Action::Changed(member));
                 self.broadcasts.add(update, cleared || member_state > MemberState::Alive);
                 if cleared {
-                    // A refutation has to outrun the suspicion.
+                    // A refutation has to spread faster than the suspicion.
                     self.push(self.cfg.refutation_fanout, actions);
                 }
             }
@@ -407,8 +409,8 @@
     }
 
     fn refute(&mut self, incarnation: Incarnation, state: MemberState, actions: &mut Vec<Action>) {
-        let about_now = incarnation >= self.incarnation;
-        if state == MemberState::Alive || !about_now || self.state == MemberState::Leaving {
+        let is_current = incarnation >= self.incarnation;
+        if state == MemberState::Alive || !is_current || self.state == MemberState::Leaving {
             return;
         }
         self.refuted_suspicions += 1;
@@ -417,8 +419,8 @@
         self.push(self.cfg.push_fanout, actions);
     }
 
-    /// Newer settings are pushed on as soon as they are in force here, so that they reach all in
-    /// a few hops rather than a few rounds.
+    /// Announces newer settings as soon as they are in force at this instance, so that they reach all
+    /// instances within a few hops rather than a few rounds.
     fn settings_in_force(&mut self, version: SettingsVersion, actions: &mut Vec<Action>) {
         if version > self.settings {
             self.settings = version;
@@ -426,10 +428,10 @@
         }
     }
 
-    /// Sends news to a few others at once.
+    /// Immediately sends the queued updates to `fanout` random partners.
     fn push(&mut self, fanout: usize, actions: &mut Vec<Action>) {
-        let told = self.partners().into_iter().choose_multiple(&mut self.rng, fanout);
-        for id in told {
+        let receivers = self.partners().into_iter().choose_multiple(&mut self.rng, fanout);
+        for id in receivers {
             let Some(address) = self.members.get(&id).map(|m| m.address) else { continue };
             let message = self.message(MessageKind::News, 0);
             actions.push(Action::Send(address, message));
--- a/crates/ringbend-membership/src/message.rs
+++ b/crates/ringbend-membership/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Gossip messages.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 
 use crate::member::MemberState;
 
-/// A piece of news, piggybacked on probes.
+/// An update that is piggybacked on messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Update {
-    /// What an instance is taken for.
+    /// The state of an instance.
     Member {
-        /// The instance.
+        /// The id of the instance.
         id: InstanceId,
         /// Its address.
         address: SocketAddr,
@@ -20,43 +20,43 @@
         /// Its state.
         state: MemberState,
     },
-    /// An endpoint said itself that it is leaving.
+    /// An endpoint announced that it is leaving.
     EndpointLeaving(EndpointId),
 }
 
-/// Why a message is sent.
+/// The kind of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Are you there?
+    /// A probe, to be acknowledged by the receiver.
     Ping,
-    /// Yes, to the ping of this sequence number.
+    /// Acknowledges the ping with the same sequence number.
     Ack,
-    /// Probe this instance for me.
+    /// Asks the receiver to probe another instance.
     PingRequest {
-        /// Whom to probe.
+        /// The instance to probe.
         target: InstanceId,
     },
-    /// I am new; send me the members.
+    /// Asks for the list of members, sent by an instance that joins.
     Join,
-    /// Members, for one that joins, or news that cannot wait.
+    /// Carries the list of members to an instance that joins, or urgent updates.
     News,
 }
 
-/// One message between instances.
+/// A message between instances.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// The sender.
     pub from: InstanceId,
-    /// Where the sender takes messages.
+    /// The address at which the sender receives messages.
     pub from_address: SocketAddr,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Ties an ack to its ping.
+    /// Matches an acknowledgement to its ping.
     pub sequence: u64,
-    /// Why it is sent.
+    /// The kind of the message.
     pub kind: MessageKind,
     /// The settings version in force at the sender.
     pub settings: SettingsVersion,
-    /// News.
+    /// Piggybacked updates.
     pub updates: Vec<Update>,
 }
