--- a/crates/ringbend-ledger/src/claim.rs
+++ b/crates/ringbend-ledger/src/claim.rs
@@ -1,4 +1,4 @@
-//! The claim row of one request that may run only once.
+//! Claim rows, which ensure that a request with an idempotency key runs at most once.
 
 use std::sync::Arc;
 
@@ -6,36 +6,36 @@
 use ringbend_types::{ClientAccountId, RequestId, RequestKey};
 use serde::{Deserialize, Serialize};
 
-/// Answers up to this size are kept in the claim row; larger ones go to the object store.
+/// Maximum size of an answer that is stored in the claim row. Larger ones go to the object store.
 pub const MAX_INLINE_ANSWER_BYTES: usize = 32 * 1024;
 
-/// Names a claim: the account and the caller's own key.
+/// The key of a claim: the client account and the caller's request key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimKey {
-    /// Whose request.
+    /// The client account of the request.
     pub account: ClientAccountId,
     /// The caller's key, unique within the account.
     pub key: RequestKey,
 }
 
 impl ClaimKey {
-    /// The row of this claim.
+    /// The key of this claim's row.
     pub fn row(&self) -> RowKey {
         RowKey::new(format!("claim/{}/{}", self.account, self.key))
     }
 }
 
-/// Where a kept answer's body is.
+/// The location of a stored answer's body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerBody {
-    /// In the row, as text.
+    /// In the claim row, as text.
     Inline(Arc<str>),
-    /// In the object store under this name.
+    /// In the object store, under this name.
     Object(Arc<str>),
 }
 
-/// The answer of a request that ran, kept for later arrivals with the same key.
+/// The answer of a request that ran, stored for later requests with the same key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// The HTTP status.
@@ -46,48 +46,48 @@
     pub body: AnswerBody,
 }
 
-/// How far the claimed request is.
+/// The state of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Claimed; may be running until the holder's deadline on the wall clock. The clock only
-    /// chooses between two words for the second arrival; nothing runs on its strength.
+    /// The request is claimed and may be running until the holder's deadline on the wall clock. The wall
+    /// clock only selects which of two errors a later request gets; it never causes a request to run.
     Claimed {
-        /// Milliseconds since the Unix epoch.
+        /// The holder's deadline, in milliseconds since the Unix epoch.
         until_unix_ms: u64,
     },
-    /// Ran, with this answer.
+    /// The request ran and got this answer.
     Done(StoredAnswer),
-    /// Reached an endpoint and no definite word came back.
+    /// The request reached an endpoint, but its outcome is unknown.
     MayHaveRun,
 }
 
 /// The value of a claim row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The request that holds the claim; never reused, so it tells whose row this is.
+    /// The request that holds the claim. Request ids are never reused, so this identifies the row's owner.
     pub holder: RequestId,
-    /// Hash of method, path and body: a key used again for another request is refused.
+    /// Hash of method, path and body. A key that is reused for a different request is rejected.
     pub digest: u64,
-    /// How far it is.
+    /// The state of the request.
     pub state: ClaimState,
 }
 
-/// What a second arrival hears.
+/// The status of an existing claim, as reported to a later request with the same key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExistingClaim {
-    /// The first is still within its time.
+    /// The claiming request has not reached its deadline yet.
     InProgress,
-    /// The first ran; here is its answer.
+    /// The claiming request ran and got this answer.
     Answered(StoredAnswer),
-    /// The first may have run.
+    /// The claiming request may have run.
     MayHaveRun,
-    /// The key belongs to a different request.
+    /// The key was used for a different request.
     DifferentRequest,
 }
 
 impl Claim {
-    /// What a later arrival with `digest` hears at `now_unix_ms`.
+    /// The status of this claim for a later request with `digest` that arrives at `now_unix_ms`.
     pub fn status_for(&self, digest: u64, now_unix_ms: u64) -> ExistingClaim {
         if self.digest != digest {
             return ExistingClaim::DifferentRequest;
--- a/crates/ringbend-ledger/src/claim_batcher.rs
+++ b/crates/ringbend-ledger/src/claim_batcher.rs
@@ -1,9 +1,9 @@
-//! Claims in batches: many claims and settlements of one instance in one commit.
+//! Batching of claims, with many claims and settlements of one instance in one commit.
 //!
-//! A claim is granted only on proof that the row holds this request's id. After an unknown
-//! outcome the rows are read back. A claim that is given up was never granted, so the request was
-//! not run. A granted claim ends as `Done`, `MayHaveRun` or, when the request certainly was not
-//! run, deleted on condition that the row is still this request's.
+//! A claim is granted only once the row is known to hold this request's id. After an unknown outcome the
+//! rows are read back. An abandoned claim was never granted, so its request was not run. A granted claim
+//! ends as `Done` or `MayHaveRun`; if the request was certainly not run, the row is deleted, on the
+//! condition that it still belongs to this request.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,22 +13,23 @@
 
 use crate::claim::{Claim, ClaimKey, ClaimState, ExistingClaim, StoredAnswer};
 
-/// Bounds of the batcher.
+/// Limits and delays of the batcher.
 #[derive(Debug, Clone)]
 pub struct ClaimBatcherConfig {
-    /// Most rows in one commit.
+    /// Maximum number of rows in one commit.
     pub max_batch_rows: usize,
-    /// Most commits under way at once.
+    /// Maximum number of concurrent calls to the table service.
     pub max_calls_in_flight: usize,
-    /// Most claims waiting; more are refused.
+    /// Maximum number of waiting claims. Further ones are rejected.
     pub max_waiting: usize,
-    /// Tries before a claim is given up.
+    /// Number of attempts after which a claim is abandoned.
     pub max_claim_attempts: u32,
-    /// Tries before a settlement is given up; later arrivals then hear "may have run".
+    /// Number of attempts after which a settlement is abandoned. Later requests with the same key are then
+    /// told that the request may have run.
     pub max_settle_attempts: u32,
-    /// Wait after a failed call.
+    /// Delay after a failed call.
     pub retry_delay: Duration,
-    /// How long rows are kept.
+    /// Time to live of claim rows.
     pub row_ttl: Duration,
 }
 
@@ -46,47 +47,47 @@
     }
 }
 
-/// Numbers the batcher's calls.
+/// Identifies a call of the batcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// How a granted claim ended.
+/// The outcome of a granted claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Settlement {
-    /// It ran, with this answer.
+    /// The request ran and got this answer.
     Done(StoredAnswer),
-    /// It reached an endpoint and no definite word came back.
+    /// The request reached an endpoint, but its outcome is unknown.
     MayHaveRun,
-    /// It certainly was not run; the key is free again.
+    /// The request was certainly not run, and its key becomes available again.
     NotRun,
 }
 
-/// What happens to the batcher.
+/// An input of the batcher.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimEvent {
-    /// A request wants its claim.
+    /// A request asks for its claim.
     Claim {
-        /// The request.
+        /// The request that asks.
         holder: RequestId,
-        /// Its key.
+        /// The key of the claim.
         key: ClaimKey,
-        /// Hash of the request.
+        /// Hash of method, path and body of the request.
         digest: u64,
         /// The request's deadline on the wall clock.
         until_unix_ms: u64,
-        /// After this the claim is given up.
+        /// The time at which the claim is abandoned if it has not been granted.
         abandon_at: Timestamp,
     },
-    /// A granted request ended.
+    /// A request with a granted claim ended.
     Settle {
-        /// The request.
+        /// The request that ended.
         holder: RequestId,
-        /// How.
+        /// How it ended.
         settlement: Settlement,
     },
-    /// A call was answered.
+    /// The reply to a call arrived.
     Reply {
-        /// Which call.
+        /// The call.
         call: CallId,
         /// The reply.
         reply: Result<TableReply, TableError>,
@@ -95,16 +96,16 @@
     Tick,
 }
 
-/// What the driver does.
+/// An action to be performed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimAction {
-    /// Call the table service; answer with [`ClaimEvent::Reply`].
+    /// Call the table service and pass the reply back as [`ClaimEvent::Reply`].
     Call(CallId, TableRequest),
-    /// The request may be dispatched, after one more look at its deadline.
+    /// The request may be dispatched, after checking its deadline again.
     Granted(RequestId),
-    /// Another request holds the key.
+    /// Another request has already claimed the key.
     AlreadyClaimed(RequestId, ExistingClaim),
-    /// No claim could be made; the request was not run and must not be.
+    /// The claim was abandoned. The request was not run and must not be run.
     Abandoned(RequestId),
 }
 
@@ -114,8 +115,8 @@
     key: ClaimKey,
     claim: Claim,
     abandon_at: Timestamp,
-    tries: u32,
-    /// Some commit of this claim has an unknown outcome.
+    attempts: u32,
+    /// A commit of this claim had an unknown outcome.
     maybe_written: bool,
 }
 
@@ -123,9 +124,9 @@
 struct Settling {
     key: ClaimKey,
     claim: Claim,
-    /// `true` deletes the row instead of writing it.
+    /// Whether to delete the row instead of writing it.
     free: bool,
-    tries: u32,
+    attempts: u32,
 }
 
 #[derive(Debug, Clone)]
@@ -137,7 +138,7 @@
     Free(Vec<Settling>),
 }
 
-/// All claims of one instance.
+/// The claims of one instance.
 #[derive(Debug, Clone)]
 pub struct ClaimBatcher {
     cfg: ClaimBatcherConfig,
@@ -152,7 +153,7 @@
 }
 
 impl ClaimBatcher {
-    /// A batcher without claims.
+    /// Creates a batcher without claims.
     pub fn new(cfg: ClaimBatcherConfig) -> Self {
         Self {
             cfg,
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Takes an event. `now_unix_ms` is the wall clock, used only to word [`ExistingClaim`].
+    /// Handles an event. `now_unix_ms` is the wall clock time, used only to determine the
+    /// [`ExistingClaim`] that is reported.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -183,7 +185,8 @@
                 let state = ClaimState::Claimed { until_unix_ms };
                 let claim = Claim { holder, digest, state };
                 let maybe_written = false;
-                let pending = Pending { holder, key, claim, abandon_at, tries: 0, maybe_written };
+                let pending =
+                    Pending { holder, key, claim, abandon_at, attempts: 0, maybe_written };
                 self.waiting.push_back(pending);
             }
             ClaimEvent::Settle { holder, settlement } => self.settle(holder, settlement),
@@ -199,7 +202,7 @@
         actions
     }
 
-    /// When [`ClaimEvent::Tick`] is wanted next.
+    /// When the next [`ClaimEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Timestamp {
         let queued = self.waiting.iter().chain(&self.uncertain);
         let abandon_at = queued.map(|p| p.abandon_at).min().unwrap_or(Timestamp::NEVER);
@@ -209,7 +212,7 @@
         abandon_at
     }
 
-    /// Claims and settlements that are not yet over; a graceful shutdown waits for zero.
+    /// The number of unfinished claims and settlements. A graceful shutdown waits until it is zero.
     pub fn unsettled(&self) -> usize {
         self.granted.len() + self.settling.len() + self.freeing.len() + self.calls.len()
     }
@@ -229,15 +232,15 @@
             Settlement::MayHaveRun => claim.state = ClaimState::MayHaveRun,
             Settlement::NotRun => {}
         }
-        let settling = Settling { key, claim, free, tries: 0 };
+        let settling = Settling { key, claim, free, attempts: 0 };
         let queue = if free { &mut self.freeing } else { &mut self.settling };
         queue.push_back(settling);
     }
 
     fn abandon_expired(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
-        let mut late = take_expired(&mut self.waiting, now);
-        late.extend(take_expired(&mut self.uncertain, now));
-        for pending in late {
+        let mut expired = take_expired(&mut self.waiting, now);
+        expired.extend(take_expired(&mut self.uncertain, now));
+        for pending in expired {
             self.abandon(pending, actions);
         }
     }
@@ -253,38 +256,39 @@
     }
 
     fn next_call(&mut self) -> Option<(Call, TableRequest)> {
-        let most = self.cfg.max_batch_rows;
+        let max = self.cfg.max_batch_rows;
         if !self.uncertain.is_empty() {
-            let batch = take(&mut self.uncertain, most);
+            let batch = take_up_to(&mut self.uncertain, max);
             let keys = batch.iter().map(|p| p.key.row()).collect();
             return Some((Call::ReadBack(batch), TableRequest::Read { keys }));
         }
         if !self.waiting.is_empty() {
-            let batch = self.take_distinct_keys(most);
+            let batch = self.take_distinct_keys(max);
             let request = self.claim_request(&batch);
             return Some((Call::Claim(batch), request));
         }
         if !self.settling.is_empty() {
-            let batch = take(&mut self.settling, most);
-            let writes = batch.iter().map(|s| self.put(&s.key, &s.claim)).collect();
+            let batch = take_up_to(&mut self.settling, max);
+            let writes = batch.iter().map(|s| self.put_claim(&s.key, &s.claim)).collect();
             let request = TableRequest::Commit { conditions: Vec::new(), writes };
             return Some((Call::Settle(batch), request));
         }
         if !self.freeing.is_empty() {
-            let batch = take(&mut self.freeing, most);
+            let batch = take_up_to(&mut self.freeing, max);
             let keys = batch.iter().map(|s| s.key.row()).collect();
             return Some((Call::ReadToFree(batch), TableRequest::Read { keys }));
         }
         None
     }
 
-    /// The next claims, no key twice: of two with one key, the second waits for the next batch.
-    fn take_distinct_keys(&mut self, most: usize) -> Vec<Pending> {
+    /// The next claims with distinct keys. Of two claims with the same key, the second one waits for the
+    /// next batch.
+    fn take_distinct_keys(&mut self, max: usize) -> Vec<Pending> {
         let mut batch: Vec<Pending> = Vec::new();
         let mut rest = VecDeque::new();
         while let Some(pending) = self.waiting.pop_front() {
-            let fits = batch.len() < most && batch.iter().all(|p| p.key != pending.key);
-            if fits {
+            let fits_batch = batch.len() < max && batch.iter().all(|p| p.key != pending.key);
+            if fits_batch {
                 batch.push(pending);
             } else {
                 rest.push_back(pending);
@@ -297,11 +301,11 @@
     fn claim_request(&self, batch: &[Pending]) -> TableRequest {
         TableRequest::Commit {
             conditions: batch.iter().map(|p| Condition::Absent(p.key.row())).collect(),
-            writes: batch.iter().map(|p| self.put(&p.key, &p.claim)).collect(),
+            writes: batch.iter().map(|p| self.put_claim(&p.key, &p.claim)).collect(),
         }
     }
 
-    fn put(&self, key: &ClaimKey, claim: &Claim) -> Write {
+    fn put_claim(&self, key: &ClaimKey, claim: &Claim) -> Write {
         let value = serde_json::to_string(claim).unwrap_or_default().into();
         Write::Put { key: key.row(), value, ttl_s: Some(self.cfg.row_ttl.as_secs()) }
     }
@@ -323,7 +327,7 @@
             }
             (Call::Claim(batch), Ok(TableReply::ConditionsFailed(rows))) => {
                 for pending in batch {
-                    match claim_in(&rows, &pending.key.row()) {
+                    match find_claim(&rows, &pending.key.row()) {
                         Some(held) => self.resolve(pending, &held, now_unix_ms, actions),
                         None => self.waiting.push_front(pending),
                     }
@@ -335,9 +339,10 @@
             (Call::Claim(batch), _) => self.retry_claims(batch, false, actions),
             (Call::ReadBack(batch), Ok(TableReply::Rows(rows))) => {
                 for pending in batch {
-                    match claim_in(&rows, &pending.key.row()) {
+                    match find_claim(&rows, &pending.key.row()) {
                         Some(held) => self.resolve(pending, &held, now_unix_ms, actions),
-                        // The lost commit may still land; the next one then finds this very claim.
+                        // The lost commit may still take effect, in which case the next one finds this
+                        // request's own claim.
                         None => self.waiting.push_front(pending),
                     }
                 }
@@ -346,7 +351,7 @@
             (Call::Settle(_) | Call::Free(_), Ok(TableReply::Committed)) => {}
             (Call::Settle(batch), _) => self.retry_settlements(batch),
             (Call::ReadToFree(batch), Ok(TableReply::Rows(rows))) => {
-                self.free(batch, &rows, actions);
+                self.free_claims(batch, &rows, actions);
             }
             (Call::ReadToFree(batch) | Call::Free(batch), _) => self.retry_settlements(batch),
         }
@@ -367,8 +372,8 @@
         if held.holder == pending.holder {
             return self.grant(pending, actions);
         }
-        let word = held.status_for(pending.claim.digest, now_unix_ms);
-        actions.push(ClaimAction::AlreadyClaimed(pending.holder, word));
+        let status = held.status_for(pending.claim.digest, now_unix_ms);
+        actions.push(ClaimAction::AlreadyClaimed(pending.holder, status));
     }
 
     fn retry_claims(
@@ -378,9 +383,9 @@
         actions: &mut Vec<ClaimAction>,
     ) {
         for mut pending in batch {
-            pending.tries += 1;
+            pending.attempts += 1;
             pending.maybe_written |= uncertain;
-            if pending.tries >= self.cfg.max_claim_attempts {
+            if pending.attempts >= self.cfg.max_claim_attempts {
                 self.abandon(pending, actions);
             } else if uncertain {
                 self.uncertain.push_back(pending);
@@ -390,20 +395,20 @@
         }
     }
 
-    /// Gives a claim up. One in doubt may lie in the table; it is taken away, so that the caller's
-    /// next try is not told "in progress".
+    /// Abandons a claim. If the claim may have been written, its row is deleted, so that the caller's next
+    /// attempt is not told that the request is in progress.
     fn abandon(&mut self, pending: Pending, actions: &mut Vec<ClaimAction>) {
         let Pending { holder, key, claim, maybe_written, .. } = pending;
         actions.push(ClaimAction::Abandoned(holder));
         if maybe_written {
-            self.freeing.push_back(Settling { key, claim, free: true, tries: 0 });
+            self.freeing.push_back(Settling { key, claim, free: true, attempts: 0 });
         }
     }
 
     fn retry_settlements(&mut self, batch: Vec<Settling>) {
         for mut settling in batch {
-            settling.tries += 1;
-            if settling.tries >= self.cfg.max_settle_attempts {
+            settling.attempts += 1;
+            if settling.attempts >= self.cfg.max_settle_attempts {
                 continue;
             }
             let queue = if settling.free { &mut self.freeing } else { &mut self.settling };
@@ -411,10 +416,10 @@
         }
     }
 
-    fn free(&mut self, batch: Vec<Settling>, rows: &[Row], actions: &mut Vec<ClaimAction>) {
+    fn free_claims(&mut self, batch: Vec<Settling>, rows: &[Row], actions: &mut Vec<ClaimAction>) {
         let mut conditions = Vec::new();
         let mut writes = Vec::new();
-        let mut ours = Vec::new();
+        let mut owned = Vec::new();
         for settling in batch {
             let key = settling.key.row();
             let Some(row) = rows.iter().find(|row| row.key == key) else { continue };
@@ -422,33 +427,33 @@
             if held.is_ok_and(|held| held.holder == settling.claim.holder) {
                 conditions.push(Condition::VersionIs(key.clone(), row.version));
                 writes.push(Write::Delete { key });
-                ours.push(settling);
+                owned.push(settling);
             }
         }
-        if ours.is_empty() {
+        if owned.is_empty() {
             return;
         }
         self.next_call += 1;
         let id = CallId(self.next_call);
-        self.calls.insert(id, Call::Free(ours));
+        self.calls.insert(id, Call::Free(owned));
         actions.push(ClaimAction::Call(id, TableRequest::Commit { conditions, writes }));
     }
 }
 
-/// Takes the claims whose time is over out of a queue.
+/// Removes the expired claims from a queue.
 fn take_expired(queue: &mut VecDeque<Pending>, now: Timestamp) -> Vec<Pending> {
-    let (late, rest): (Vec<Pending>, Vec<Pending>) =
+    let (expired, rest): (Vec<Pending>, Vec<Pending>) =
         queue.drain(..).partition(|pending| pending.abandon_at <= now);
     *queue = rest.into();
-    late
+    expired
 }
 
-fn take<T>(queue: &mut VecDeque<T>, most: usize) -> Vec<T> {
-    let n = queue.len().min(most);
+fn take_up_to<T>(queue: &mut VecDeque<T>, max: usize) -> Vec<T> {
+    let n = queue.len().min(max);
     queue.drain(..n).collect()
 }
 
-fn claim_in(rows: &[Row], key: &RowKey) -> Option<Claim> {
+fn find_claim(rows: &[Row], key: &RowKey) -> Option<Claim> {
     let row = rows.iter().find(|row| row.key == *key)?;
     serde_json::from_str(&row.value).ok()
 }
--- a/crates/ringbend-ledger/src/lease.rs
+++ b/crates/ringbend-ledger/src/lease.rs
@@ -1,10 +1,10 @@
-//! One lease row with a rising fencing number.
+//! Leases with fencing tokens, each in one row of the table service.
 //!
-//! The holder counts its validity from before it sent the commit, on its own clock. A successor
-//! takes over only after it has itself watched the row stay unchanged for the time to live plus
-//! the margin. No clocks are compared. The margin covers the longest flight of an order, so that
-//! endpoints which ignore fencing numbers are safe as well, up to a pause of the holder between
-//! its last check and the send that is longer than the margin.
+//! The holder measures the validity of its lease on its own clock, from before it sent the commit. A
+//! successor takes over only after it has itself observed the row to stay unchanged for the time to live
+//! plus the margin. Clocks of different instances are never compared. The margin covers the longest flight
+//! time of an order, so that endpoints which ignore fencing tokens are safe as well, unless the holder is
+//! paused for longer than the margin between its last check and the send.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
 use ringbend_types::{FencingToken, Incarnation, InstanceId, LeaseName, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Times of a lease.
+/// Durations of a lease.
 #[derive(Debug, Clone)]
 pub struct LeaseConfig {
-    /// How long one renewal lasts.
+    /// How long a renewal is valid.
     pub ttl: Duration,
-    /// How much longer a successor waits: the longest order's flight and the clocks' drift.
+    /// Additional time that a successor waits, to cover the longest flight time of an order and clock drift.
     pub margin: Duration,
-    /// How often the row is read, or renewed by its holder.
+    /// Interval at which the row is read, or renewed by its holder.
     pub renew_interval: Duration,
-    /// After how long without renewal the service may delete the row; `None` keeps it, so that
-    /// fencing numbers rise for ever.
+    /// Time without renewal after which the service may delete the row. `None` keeps the row, so that fencing
+    /// tokens never decrease.
     pub row_ttl: Option<Duration>,
 }
 
@@ -42,31 +42,31 @@
 /// The value of a lease row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds it.
+    /// The holder of the lease.
     pub holder: InstanceId,
-    /// Which start of the holder.
+    /// The incarnation of the holder.
     pub incarnation: Incarnation,
-    /// Rises with each new holder.
+    /// The fencing token, which increases with each new holder.
     pub fencing: FencingToken,
-    /// Rises with each renewal.
+    /// The renewal counter, which increases with each renewal.
     pub renewal: u64,
 }
 
-/// What happens to a lease.
+/// An input of a lease.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaseEvent {
     /// Time has passed.
     Tick,
-    /// The call under way was answered.
+    /// The reply to the pending call arrived.
     Reply(Result<TableReply, TableError>),
-    /// Stop renewing, for a graceful shutdown. The row stays, so that fencing numbers keep rising.
+    /// Stop renewing, for a graceful shutdown. The row is kept, so that fencing tokens keep increasing.
     Leave,
 }
 
-/// What the driver does.
+/// An action to be performed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaseAction {
-    /// Call the table service; answer with [`LeaseEvent::Reply`].
+    /// Call the table service and pass the reply back as [`LeaseEvent::Reply`].
     Call(TableRequest),
 }
 
@@ -77,7 +77,7 @@
     Writing { sent: Timestamp, row: LeaseRow },
 }
 
-/// One instance's side of one lease.
+/// One lease from the view of one instance.
 #[derive(Debug, Clone)]
 pub struct Lease {
     cfg: LeaseConfig,
@@ -86,13 +86,13 @@
     incarnation: Incarnation,
     phase: Phase,
     held: Option<(FencingToken, Timestamp)>,
-    unproved: Option<(LeaseRow, Timestamp)>,
-    watched: Option<(RowVersion, Timestamp)>,
+    unconfirmed: Option<(LeaseRow, Timestamp)>,
+    observed: Option<(RowVersion, Timestamp)>,
     leaving: bool,
 }
 
 impl Lease {
-    /// A lease that this instance does not hold yet.
+    /// Creates a lease that this instance does not hold yet.
     pub fn new(
         cfg: LeaseConfig,
         name: &LeaseName,
@@ -106,19 +106,19 @@
             incarnation,
             phase: Phase::Idle { until: Timestamp::default() },
             held: None,
-            unproved: None,
-            watched: None,
+            unconfirmed: None,
+            observed: None,
             leaving: false,
         }
     }
 
-    /// The fencing number, when the lease is sure to last `flight` longer.
+    /// The fencing token, if the lease is certain to be valid for another `flight`.
     pub fn fencing(&self, now: Timestamp, flight: Duration) -> Option<FencingToken> {
         let (fencing, valid_until) = self.held?;
         (now + flight < valid_until).then_some(fencing)
     }
 
-    /// When [`LeaseEvent::Tick`] is wanted next.
+    /// When the next [`LeaseEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Timestamp {
         match self.phase {
             Phase::Idle { until } => until,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes an event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Timestamp, event: LeaseEvent) -> Option<LeaseAction> {
         match event {
             LeaseEvent::Tick => self.tick(now),
@@ -166,7 +166,7 @@
                 None
             }
             (Phase::Writing { sent, row }, Err(TableError::OutcomeUnknown)) => {
-                self.unproved = Some((row, sent));
+                self.unconfirmed = Some((row, sent));
                 None
             }
             _ => None,
@@ -185,13 +185,13 @@
         let Ok(current) = serde_json::from_str::<LeaseRow>(&row.value) else { return None };
         let unchanged = Condition::VersionIs(self.key.clone(), row.version);
         if current.holder == self.holder && current.incarnation == self.incarnation {
-            self.prove(&current);
+            self.confirm_write(&current);
             let renewed = self.row(current.fencing, current.renewal + 1);
             return self.write(now, unchanged, renewed);
         }
         self.held = None;
         let wait = self.cfg.ttl + self.cfg.margin;
-        match self.watched {
+        match self.observed {
             Some((version, since)) if version == row.version => {
                 if now.since(since) < wait {
                     return None;
@@ -200,15 +200,16 @@
                 self.write(now, unchanged, next)
             }
             _ => {
-                self.watched = Some((row.version, now));
+                self.observed = Some((row.version, now));
                 None
             }
         }
     }
 
-    /// A commit whose answer was lost did take effect: it holds from when it was sent.
-    fn prove(&mut self, current: &LeaseRow) {
-        if let Some((row, sent)) = self.unproved.take()
+    /// Confirms a commit whose reply was lost, if it took effect. The lease then counts from when the commit
+    /// was sent.
+    fn confirm_write(&mut self, current: &LeaseRow) {
+        if let Some((row, sent)) = self.unconfirmed.take()
             && row == *current
         {
             self.held = Some((row.fencing, sent + self.cfg.ttl));
--- a/crates/ringbend-ledger/src/lib.rs
+++ b/crates/ringbend-ledger/src/lib.rs
@@ -1,5 +1,5 @@
-//! What must be agreed before work is done: claims of requests that may run only once, leases of
-//! exclusive jobs, and the sweep of memory that belongs to nobody. All of it is free of I/O.
+//! Coordination between instances through the table service: claims for requests that must run at most
+//! once, leases for exclusive jobs, and the sweep of orphaned memory reservations. Nothing here does I/O.
 
 mod claim;
 mod claim_batcher;
--- a/crates/ringbend-ledger/src/sweep.rs
+++ b/crates/ringbend-ledger/src/sweep.rs
@@ -1,9 +1,9 @@
-//! Finds memory on engines that belongs to nobody.
+//! Detection of orphaned memory reservations on engines.
 //!
-//! A reservation is swept when no attempt can still use it: it has been there longer than any
-//! request may last, or its holder's presence row has stood still for the lease's time to live
-//! and margin while the table answered, and membership has the holder dead as well. An instance
-//! that cannot renew its presence ends its own reservations first (see the lease's validity).
+//! A reservation is freed when no attempt can use it any more: it is older than the longest possible
+//! request, or its holder's presence row has not changed for the lease's time to live plus margin while the
+//! table was reachable, and membership also considers the holder dead. An instance that cannot renew its
+//! presence ends its own reservations before that (see the validity of a [`Lease`](crate::Lease)).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use ringbend_platform::{Reservation, RowVersion};
 use ringbend_types::{AttemptId, EndpointId, Incarnation, Timestamp};
 
-/// Times of the sweep.
+/// Durations of the sweep.
 #[derive(Debug, Clone)]
 pub struct SweepConfig {
-    /// The longest any request may last, with some room.
+    /// Maximum duration of a request, plus some slack.
     pub max_hold: Duration,
-    /// How long a presence row must stand still: its lease's time to live and margin.
+    /// How long a presence row must stay unchanged: the time to live plus the margin of its lease.
     pub presence_timeout: Duration,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// What the sweeper has seen. One instance sweeps at a time, under a lease.
+/// The observations of the sweeper. Only one instance sweeps at a time, under a lease.
 #[derive(Debug, Clone)]
 pub struct Sweeper {
     cfg: SweepConfig,
@@ -36,12 +36,12 @@
 }
 
 impl Sweeper {
-    /// A sweeper that has seen nothing.
+    /// Creates a sweeper without observations.
     pub fn new(cfg: SweepConfig) -> Self {
         Self { cfg, first_seen: BTreeMap::new(), presence: BTreeMap::new(), live: BTreeSet::new() }
     }
 
-    /// Takes the presence row of an incarnation as the table has it now; `None` is no row.
+    /// Records the current presence row of an incarnation in the table; `None` if there is no row.
     pub fn observe_presence(
         &mut self,
         now: Timestamp,
@@ -56,30 +56,30 @@
         }
     }
 
-    /// Takes the incarnations that membership has alive, as they are after any refutations.
+    /// Sets the incarnations that membership considers alive, as incremented by any refutations.
     pub fn set_live(&mut self, live: BTreeSet<Incarnation>) {
         self.live = live;
     }
 
-    /// A failed read of the table: presence counts anew, for a row may have stood still only
-    /// because nobody could write it.
+    /// Restarts the observation of all presence rows after a failed read of the table, because a row may have
+    /// stayed unchanged only because nobody could write to it.
     pub fn reset_presence(&mut self) {
         self.presence.clear();
     }
 
-    /// Takes an engine's reservations and returns those to free.
+    /// Records the reservations of an engine and returns the orphaned ones, which are to be freed.
     pub fn find_orphaned(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
         held: &[Reservation],
     ) -> Vec<AttemptId> {
-        let here: BTreeSet<AttemptId> = held.iter().map(|r| r.attempt).collect();
-        self.first_seen.retain(|(e, attempt), _| e != endpoint || here.contains(attempt));
-        for attempt in &here {
+        let current: BTreeSet<AttemptId> = held.iter().map(|r| r.attempt).collect();
+        self.first_seen.retain(|(e, attempt), _| e != endpoint || current.contains(attempt));
+        for attempt in &current {
             self.first_seen.entry((endpoint.clone(), *attempt)).or_insert(now);
         }
-        here.into_iter().filter(|attempt| self.is_orphaned(now, endpoint, *attempt)).collect()
+        current.into_iter().filter(|attempt| self.is_orphaned(now, endpoint, *attempt)).collect()
     }
 
     fn is_orphaned(&self, now: Timestamp, endpoint: &EndpointId, attempt: AttemptId) -> bool {
@@ -88,11 +88,12 @@
             return true;
         }
         let holder = Incarnation(attempt.incarnation);
-        let still = self.presence.get(&holder).map(|(_, since)| now.since(*since));
-        still.is_some_and(|still| still >= self.cfg.presence_timeout) && !self.is_live(holder)
+        let unchanged_for = self.presence.get(&holder).map(|(_, since)| now.since(*since));
+        unchanged_for.is_some_and(|time| time >= self.cfg.presence_timeout) && !self.is_live(holder)
     }
 
-    /// Attempts carry the incarnation of their holder's start, which refutations have raised since.
+    /// Compares start times, because attempts carry the incarnation of their holder's start, which refutations
+    /// may have incremented since.
     fn is_live(&self, holder: Incarnation) -> bool {
         self.live.iter().any(|live| live.started_unix_ms() == holder.started_unix_ms())
     }
--- a/crates/ringbend-ledger/tests/claims.rs
+++ b/crates/ringbend-ledger/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims over lost answers, outages and two instances at once.
+//! Claims under lost replies, outages and concurrent instances.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 use ringbend_platform::{TableReply, TableRequest};
 use ringbend_types::{RequestId, Timestamp};
 
-/// The claims of one instance before a table without time.
+/// The claims of one instance, driven against a table model without delays.
 struct Instance {
     batcher: ClaimBatcher,
     now: Timestamp,
-    words: Vec<ClaimAction>,
+    outcomes: Vec<ClaimAction>,
 }
 
 impl Instance {
     fn new() -> Self {
         let batcher = ClaimBatcher::new(ClaimBatcherConfig::default());
-        Self { batcher, now: Timestamp(0), words: Vec::new() }
+        Self { batcher, now: Timestamp(0), outcomes: Vec::new() }
     }
 
-    /// Gives an event and answers every call from the table, until nothing more happens.
+    /// Passes in an event and answers all calls from the table, until the batcher is idle.
     fn run(&mut self, table: &mut TableModel, event: ClaimEvent) {
         let mut events = vec![event];
         for _ in 0..1_000 {
@@ -41,11 +41,11 @@
                         let reply = table.call(self.now, &request);
                         events.push(ClaimEvent::Reply { call, reply });
                     }
-                    word => self.words.push(word),
+                    outcome => self.outcomes.push(outcome),
                 }
             }
         }
-        panic!("the claims do not come to rest");
+        panic!("the batcher does not become idle");
     }
 
     fn settle(&mut self, table: &mut TableModel, id: u64, settlement: Settlement) {
@@ -85,31 +85,31 @@
 }
 
 #[test]
-fn one_of_two_instances_gets_the_claim() {
+fn only_one_of_two_instances_gets_the_claim() {
     let mut table = table();
     let (mut one, mut two) = (Instance::new(), Instance::new());
     one.run(&mut table, claim(1, "count"));
     two.run(&mut table, claim(2, "count"));
-    assert_eq!(one.words, [ClaimAction::Granted(request(1))]);
-    assert_eq!(two.words, [ClaimAction::AlreadyClaimed(request(2), ExistingClaim::InProgress)]);
+    assert_eq!(one.outcomes, [ClaimAction::Granted(request(1))]);
+    assert_eq!(two.outcomes, [ClaimAction::AlreadyClaimed(request(2), ExistingClaim::InProgress)]);
 }
 
 #[test]
-fn the_second_arrival_gets_the_stored_answer() {
+fn the_second_request_gets_the_stored_answer() {
     let mut table = table();
     let (mut one, mut two) = (Instance::new(), Instance::new());
     one.run(&mut table, claim(1, "count"));
     one.settle(&mut table, 1, Settlement::Done(answer("42")));
     two.run(&mut table, claim(2, "count"));
     assert_eq!(
-        two.words,
+        two.outcomes,
         [ClaimAction::AlreadyClaimed(request(2), ExistingClaim::Answered(answer("42")))]
     );
     assert_eq!(one.batcher.unsettled(), 0);
 }
 
 #[test]
-fn after_a_kill_the_second_arrival_hears_in_progress_then_may_have_run() {
+fn after_a_crash_the_second_request_gets_in_progress_then_may_have_run() {
     let mut table = table();
     let mut one = Instance::new();
     one.run(&mut table, claim(1, "count"));
@@ -124,7 +124,7 @@
     let late = ClaimEvent::Claim { holder: request(3), key, digest, until_unix_ms, abandon_at };
     two.run(&mut table, late);
     assert_eq!(
-        two.words,
+        two.outcomes,
         [
             ClaimAction::AlreadyClaimed(request(2), ExistingClaim::InProgress),
             ClaimAction::AlreadyClaimed(request(3), ExistingClaim::MayHaveRun),
@@ -139,11 +139,11 @@
     one.run(&mut table, claim(1, "count"));
     one.settle(&mut table, 1, Settlement::NotRun);
     one.run(&mut table, claim(2, "count"));
-    assert_eq!(one.words[1], ClaimAction::Granted(request(2)));
+    assert_eq!(one.outcomes[1], ClaimAction::Granted(request(2)));
 }
 
 #[test]
-fn a_key_used_for_another_request_is_refused() {
+fn a_key_reused_for_a_different_request_is_rejected() {
     let mut table = table();
     let mut one = Instance::new();
     one.run(&mut table, claim(1, "count"));
@@ -153,32 +153,32 @@
     let other = ClaimEvent::Claim { holder: request(2), key, digest: 2, until_unix_ms, abandon_at };
     one.run(&mut table, other);
     assert_eq!(
-        one.words[1],
+        one.outcomes[1],
         ClaimAction::AlreadyClaimed(request(2), ExistingClaim::DifferentRequest)
     );
 }
 
 #[test]
-fn a_lost_answer_of_the_claim_is_read_back() {
+fn a_claim_whose_reply_was_lost_is_read_back() {
     let mut table = table();
     table.faults = TableFaults { lose_answers: 1, ..TableFaults::default() };
     let mut one = Instance::new();
     one.run(&mut table, claim(1, "count"));
-    assert_eq!(one.words, [ClaimAction::Granted(request(1))]);
+    assert_eq!(one.outcomes, [ClaimAction::Granted(request(1))]);
 }
 
 #[test]
-fn an_outage_gives_the_claim_up_and_nothing_was_written() {
+fn an_outage_abandons_the_claim_without_writing() {
     let mut table = table();
     table.faults = TableFaults { outage: true, ..TableFaults::default() };
     let mut one = Instance::new();
     one.run(&mut table, claim(1, "count"));
-    assert_eq!(one.words, [ClaimAction::Abandoned(request(1))]);
+    assert_eq!(one.outcomes, [ClaimAction::Abandoned(request(1))]);
     assert_eq!(table.commits(), 0);
 }
 
 #[test]
-fn a_settlement_outlasts_an_outage() {
+fn a_settlement_is_retried_until_an_outage_ends() {
     let mut table = table();
     let mut one = Instance::new();
     one.run(&mut table, claim(1, "count"));
@@ -196,7 +196,7 @@
     let mut two = Instance::new();
     two.run(&mut table, claim(2, "count"));
     assert_eq!(
-        two.words,
+        two.outcomes,
         [ClaimAction::AlreadyClaimed(request(2), ExistingClaim::Answered(answer("42")))]
     );
 }
@@ -205,7 +205,7 @@
 fn many_claims_share_a_commit() {
     let mut table = table();
     let mut one = Instance::new();
-    // While the first two commits are under way, the rest gather.
+    // The remaining claims are batched while the first two commits are in flight.
     let mut calls: Vec<(CallId, TableRequest)> = Vec::new();
     for id in 0..200 {
         for action in one.batcher.handle(one.now, 0, claim(id, &format!("k{id}"))) {
--- a/crates/ringbend-ledger/tests/exhaustive_claims.rs
+++ b/crates/ringbend-ledger/tests/exhaustive_claims.rs
@@ -1,6 +1,6 @@
-//! Two requests with one key at two instances: every interleaving of their calls, with every fault
-//! of the store, is walked. At most one may run; one that is told "not run" never ran. The naive
-//! router, without claims, must run both.
+//! Exhaustive test of two requests with the same key at two instances. All interleavings of their calls
+//! with all faults of the table are explored. At most one request may run, and one that is reported as not
+//! run must never have run. The naive router, without claims, must run both.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use ringbend_platform::{TableError, TableReply, TableRequest};
 use ringbend_types::{RequestId, Timestamp};
 
-/// Faults in one walk at most.
-const MOST_FAULTS: u32 = 3;
+/// Maximum number of faults in one execution.
+const MAX_FAULTS: u32 = 3;
 
 #[derive(Clone)]
 struct Instance {
@@ -20,12 +20,12 @@
     now: Timestamp,
     calls: Vec<(CallId, TableRequest)>,
     granted: u32,
-    given_up: bool,
+    abandoned: bool,
     held: bool,
 }
 
-/// A commit that was lost on its way and may land later.
-type Late = Option<TableRequest>;
+/// A commit that was lost in flight and may take effect later.
+type DelayedCommit = Option<TableRequest>;
 
 fn request(id: u64) -> RequestId {
     RequestId { incarnation: id, sequence: 1 }
@@ -39,10 +39,10 @@
             now: Timestamp(0),
             calls: Vec::new(),
             granted: 0,
-            given_up: false,
+            abandoned: false,
             held: false,
         };
-        instance.give(ClaimEvent::Claim {
+        instance.handle(ClaimEvent::Claim {
             holder: request(id),
             key: ClaimKey { account: "peach".parse().unwrap(), key: "count".parse().unwrap() },
             digest: 1,
@@ -52,55 +52,64 @@
         instance
     }
 
-    fn give(&mut self, event: ClaimEvent) {
+    fn handle(&mut self, event: ClaimEvent) {
         for action in self.batcher.handle(self.now, 0, event) {
             match action {
                 ClaimAction::Call(call, request) => self.calls.push((call, request)),
-                // The holder stays, as one whose answer has not arrived yet.
+                // The claim stays held, as for a request whose answer has not arrived yet.
                 ClaimAction::Granted(_) => self.granted += 1,
-                ClaimAction::Abandoned(_) => self.given_up = true,
+                ClaimAction::Abandoned(_) => self.abandoned = true,
                 ClaimAction::AlreadyClaimed(..) => self.held = true,
             }
         }
     }
 
-    /// Lets time pass until the batcher wants something.
+    /// Advances the time until the batcher makes a call.
     fn wait(&mut self) {
         for _ in 0..10 {
             if !self.calls.is_empty() || self.batcher.next_wakeup() == Timestamp::NEVER {
                 return;
             }
             self.now = self.now + Duration::from_millis(100);
-            self.give(ClaimEvent::Tick);
+            self.handle(ClaimEvent::Tick);
         }
     }
 }
 
-struct Walk {
-    leaves: u64,
-    most_granted: u32,
-    both_ways: u64,
-    none: u64,
+struct Exploration {
+    final_states: u64,
+    max_granted: u32,
+    granted_and_abandoned: u64,
+    none_granted: u64,
 }
 
-fn step(table: &TableModel, late: &Late, instances: &[Instance; 2], faults: u32, walk: &mut Walk) {
-    let mut over = true;
+fn explore(
+    table: &TableModel,
+    delayed: &DelayedCommit,
+    instances: &[Instance; 2],
+    faults: u32,
+    exploration: &mut Exploration,
+) {
+    let mut is_final = true;
     for at in 0..2 {
         if instances[at].calls.is_empty() {
             continue;
         }
-        over = false;
-        for fate in 0..5 {
-            let (mut table, mut late, mut instances) =
-                (table.clone(), late.clone(), instances.clone());
+        is_final = false;
+        for fault in 0..5 {
+            let (mut table, mut delayed, mut instances) =
+                (table.clone(), delayed.clone(), instances.clone());
             let (call, request) = instances[at].calls.remove(0);
             let write = request.is_write();
-            let is_fault = fate > 0;
-            if (is_fault && faults == 0) || (fate >= 2 && !write) || (fate == 4 && late.is_some()) {
+            let is_fault = fault > 0;
+            if (is_fault && faults == 0)
+                || (fault >= 2 && !write)
+                || (fault == 4 && delayed.is_some())
+            {
                 continue;
             }
             let now = Timestamp(0);
-            let reply = match fate {
+            let reply = match fault {
                 0 => table.call(now, &request),
                 1 => Err(TableError::NotApplied),
                 2 => {
@@ -109,68 +118,78 @@
                 }
                 3 => Err(TableError::OutcomeUnknown),
                 _ => {
-                    late = Some(request);
+                    delayed = Some(request);
                     Err(TableError::OutcomeUnknown)
                 }
             };
             table.faults = TableFaults::default();
-            instances[at].give(ClaimEvent::Reply { call, reply });
+            instances[at].handle(ClaimEvent::Reply { call, reply });
             instances[at].wait();
-            step(&table, &late, &instances, faults - u32::from(is_fault), walk);
+            explore(&table, &delayed, &instances, faults - u32::from(is_fault), exploration);
         }
     }
-    if let Some(request) = late {
-        // The late commit lands now.
-        over = false;
+    if let Some(request) = delayed {
+        // The delayed commit takes effect now.
+        is_final = false;
         let mut table = table.clone();
         let _: Result<TableReply, TableError> = table.call(Timestamp(0), request);
-        step(&table, &None, instances, faults, walk);
+        explore(&table, &None, instances, faults, exploration);
     }
-    if over {
-        walk.leaves += 1;
+    if is_final {
+        exploration.final_states += 1;
         let granted = instances[0].granted + instances[1].granted;
-        walk.most_granted = walk.most_granted.max(granted);
-        walk.none += u64::from(granted == 0);
+        exploration.max_granted = exploration.max_granted.max(granted);
+        exploration.none_granted += u64::from(granted == 0);
         for instance in instances {
-            walk.both_ways += u64::from(instance.granted > 0 && instance.given_up);
+            exploration.granted_and_abandoned +=
+                u64::from(instance.granted > 0 && instance.abandoned);
         }
     }
 }
 
 #[test]
-fn at_most_one_of_two_runs_in_every_interleaving() {
+fn at_most_one_request_runs_in_every_interleaving() {
     let table = TableModel::new(TableRates { writes_per_s: u32::MAX, reads_per_s: u32::MAX });
-    let mut walk = Walk { leaves: 0, most_granted: 0, both_ways: 0, none: 0 };
-    step(&table, &None, &[Instance::new(1), Instance::new(2)], MOST_FAULTS, &mut walk);
-    assert!(walk.leaves > 1_000, "only {} ends were reached", walk.leaves);
-    assert_eq!(walk.most_granted, 1);
-    assert_eq!(walk.both_ways, 0, "a request was told not run after it was granted");
+    let mut exploration =
+        Exploration { final_states: 0, max_granted: 0, granted_and_abandoned: 0, none_granted: 0 };
+    explore(&table, &None, &[Instance::new(1), Instance::new(2)], MAX_FAULTS, &mut exploration);
+    assert!(
+        exploration.final_states > 1_000,
+        "only {} final states were reached",
+        exploration.final_states
+    );
+    assert_eq!(exploration.max_granted, 1);
+    assert_eq!(
+        exploration.granted_and_abandoned, 0,
+        "a request was reported as not run after its claim was granted"
+    );
 }
 
 #[test]
-fn without_faults_exactly_one_runs() {
+fn exactly_one_request_runs_without_faults() {
     let table = TableModel::new(TableRates::default());
-    let mut walk = Walk { leaves: 0, most_granted: 0, both_ways: 0, none: 0 };
-    step(&table, &None, &[Instance::new(1), Instance::new(2)], 0, &mut walk);
-    assert_eq!((walk.most_granted, walk.none), (1, 0));
+    let mut exploration =
+        Exploration { final_states: 0, max_granted: 0, granted_and_abandoned: 0, none_granted: 0 };
+    explore(&table, &None, &[Instance::new(1), Instance::new(2)], 0, &mut exploration);
+    assert_eq!((exploration.max_granted, exploration.none_granted), (1, 0));
 }
 
 #[test]
-fn a_grant_that_nobody_waits_for_is_freed() {
+fn an_unused_grant_is_freed() {
     let mut table = TableModel::new(TableRates::default());
     let mut instance = Instance::new(1);
     let (call, request_) = instance.calls.remove(0);
     let reply = table.call(Timestamp(0), &request_);
-    instance.give(ClaimEvent::Reply { call, reply });
+    instance.handle(ClaimEvent::Reply { call, reply });
     let settlement = Settlement::NotRun;
-    instance.give(ClaimEvent::Settle { holder: request(1), settlement });
+    instance.handle(ClaimEvent::Settle { holder: request(1), settlement });
     while let Some((call, request)) = instance.calls.pop() {
         let reply = table.call(Timestamp(0), &request);
-        instance.give(ClaimEvent::Reply { call, reply });
+        instance.handle(ClaimEvent::Reply { call, reply });
     }
     let mut second = Instance::new(2);
     let (call, request_) = second.calls.remove(0);
     let reply = table.call(Timestamp(0), &request_);
-    second.give(ClaimEvent::Reply { call, reply });
+    second.handle(ClaimEvent::Reply { call, reply });
     assert_eq!(second.granted, 1);
 }
--- a/crates/ringbend-ledger/tests/leases.rs
+++ b/crates/ringbend-ledger/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: one holder at a time, over pauses, lost answers and outages.
+//! Leases have one holder at a time, under pauses, lost replies and outages.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use ringbend_platform::{Order, OrderKind};
 use ringbend_types::{FencingToken, Incarnation, Timestamp};
 
-/// An order's longest flight.
+/// The longest flight time of an order.
 const FLIGHT: Duration = Duration::from_secs(2);
 
 fn lease(n: u64) -> Lease {
@@ -20,7 +20,7 @@
     TableModel::new(TableRates { writes_per_s: u32::MAX, reads_per_s: u32::MAX })
 }
 
-/// Lets one instance do what is due at `now`.
+/// Runs all actions of one instance that are due at `now`.
 fn drive(lease: &mut Lease, table: &mut TableModel, now: Timestamp) {
     let mut action = lease.handle(now, LeaseEvent::Tick);
     while let Some(LeaseAction::Call(request)) = action {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_first_to_ask_holds_it_and_renews() {
+fn the_first_instance_acquires_the_lease_and_renews_it() {
     let (mut table, mut one, mut two) = (table(), lease(1), lease(2));
     for n in 0..60 {
         drive(&mut one, &mut table, seconds(n));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_successor_waits_out_the_time_to_live_and_the_margin() {
+fn a_successor_waits_for_the_time_to_live_plus_the_margin() {
     let (mut table, mut one, mut two) = (table(), lease(1), lease(2));
     drive(&mut one, &mut table, seconds(0));
     let mut taken = None;
@@ -55,14 +55,14 @@
             taken = Some(n);
         }
     }
-    // Watched from 1 s on, in looks of 3 s, for 10 s and 5 s.
+    // The row is first read at 1 s, then every 3 s, and has to stay unchanged for 10 s plus 5 s.
     assert_eq!(taken, Some(16));
     assert_eq!(two.fencing(seconds(18), FLIGHT), Some(FencingToken(2)));
     assert_eq!(one.fencing(seconds(16), FLIGHT), None);
 }
 
 #[test]
-fn a_holder_that_resumes_from_a_pause_knows_that_it_lost() {
+fn a_holder_that_resumes_after_a_pause_has_lost_the_lease() {
     let (mut table, mut one, mut two) = (table(), lease(1), lease(2));
     drive(&mut one, &mut table, seconds(0));
     for n in 1..30 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_lost_answer_counts_from_when_the_commit_was_sent() {
+fn a_lease_whose_reply_was_lost_counts_from_when_the_commit_was_sent() {
     let (mut table, mut one) = (table(), lease(1));
     table.faults = TableFaults { lose_answers: 1, ..TableFaults::default() };
     drive(&mut one, &mut table, seconds(0));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_outage_ends_the_lease_in_time() {
+fn a_lease_expires_in_time_during_an_outage() {
     let (mut table, mut one) = (table(), lease(1));
     drive(&mut one, &mut table, seconds(0));
     table.faults = TableFaults { outage: true, ..TableFaults::default() };
@@ -95,11 +95,11 @@
     assert_eq!(one.fencing(seconds(8), FLIGHT), None);
 }
 
-/// A holder that is paused at each step of its job for a minute: before the check it sends
-/// nothing; after the check its order leaves late, which an engine that checks the number refuses.
-/// One that ignores numbers carries it out, so orders name a wanted state and nothing more.
+/// A holder is paused for a minute. If it is paused before it checks the lease, it sends no order. If it is
+/// paused after the check, it sends its order late, and an engine that checks fencing tokens rejects it. An
+/// engine that ignores them executes the order, which is why orders only specify a desired state.
 #[test]
-fn a_late_order_is_refused_by_an_engine_that_checks() {
+fn a_late_order_is_rejected_by_an_engine_that_checks_fencing_tokens() {
     let order = |n| Order {
         fencing: FencingToken(n),
         kind: OrderKind::SetRole { role: "decode".parse().unwrap() },
@@ -116,29 +116,29 @@
     assert!(engine.order(seconds(61), order(checked_before_the_pause.0)).is_err());
 }
 
-/// An order sent within the lease arrives before any successor may act, with no numbers checked.
+/// An order sent within the lease arrives before a successor may act, even without checked fencing tokens.
 #[test]
-fn an_order_in_flight_lands_before_the_successor_acts() {
+fn an_order_in_flight_arrives_before_the_successor_acts() {
     let (mut table, mut one, mut two) = (table(), lease(1), lease(2));
     drive(&mut one, &mut table, seconds(0));
-    let mut last_landing = seconds(0);
-    let mut first_by_successor = None;
+    let mut last_arrival = seconds(0);
+    let mut successor_start = None;
     for n in 1..60 {
-        // The holder cannot renew from now on, and sends as long as it may.
+        // The holder cannot renew the lease any more, and sends orders for as long as it is valid.
         if one.fencing(seconds(n), FLIGHT).is_some() {
-            last_landing = seconds(n) + FLIGHT;
+            last_arrival = seconds(n) + FLIGHT;
         }
         drive(&mut two, &mut table, seconds(n));
-        if first_by_successor.is_none() && two.fencing(seconds(n), FLIGHT).is_some() {
-            first_by_successor = Some(seconds(n));
+        if successor_start.is_none() && two.fencing(seconds(n), FLIGHT).is_some() {
+            successor_start = Some(seconds(n));
         }
     }
-    assert!(last_landing < first_by_successor.unwrap());
+    assert!(last_arrival < successor_start.unwrap());
 }
 
-/// Three instances, random pauses, refused calls and lost answers: never two holders, and a
-/// later holder has a higher number.
-fn one_holder(schedule: Vec<(u8, u8, u8)>) -> TestResult {
+/// With three instances, random pauses, rejected calls and lost replies there are never two holders, and
+/// fencing tokens never decrease.
+fn has_one_holder(schedule: Vec<(u8, u8, u8)>) -> TestResult {
     let mut table = table();
     let mut leases = [lease(1), lease(2), lease(3)];
     let mut highest = FencingToken(0);
@@ -163,8 +163,8 @@
 }
 
 #[test]
-fn never_two_holders() {
+fn there_are_never_two_holders() {
     let seeded = Gen::from_size_and_seed(200, 7);
-    let holds = one_holder as fn(Vec<(u8, u8, u8)>) -> TestResult;
-    QuickCheck::new().tests(500).rng(seeded).quickcheck(holds);
+    let property = has_one_holder as fn(Vec<(u8, u8, u8)>) -> TestResult;
+    QuickCheck::new().tests(500).rng(seeded).quickcheck(property);
 }
--- a/crates/ringbend-ledger/tests/sweep.rs
+++ b/crates/ringbend-ledger/tests/sweep.rs
@@ -1,4 +1,4 @@
-//! The sweep frees what belongs to nobody, and nothing else.
+//! The sweep frees orphaned reservations and no others.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,7 +22,8 @@
     Timestamp::from_millis(n * 1_000)
 }
 
-/// Sweeps every five seconds; `version` gives the holder's presence row at a time.
+/// Sweeps every five seconds and returns when the reservation is freed. `version` is the version of the
+/// holder's presence row at a given time.
 fn freed_at(dead: bool, version: impl Fn(u64) -> Option<RowVersion>, until: u64) -> Option<u64> {
     let mut sweeper = Sweeper::new(SweepConfig::default());
     for n in (0..until).step_by(5) {
@@ -41,17 +42,17 @@
 }
 
 #[test]
-fn memory_of_an_instance_whose_row_expired_is_freed() {
+fn memory_of_an_instance_with_an_expired_row_is_freed() {
     assert_eq!(freed_at(true, |_| None, 100), Some(40));
 }
 
 #[test]
-fn memory_of_an_instance_that_renews_is_kept_though_gossip_has_it_dead() {
+fn memory_of_an_instance_that_renews_is_kept_even_if_gossip_considers_it_dead() {
     assert_eq!(freed_at(true, |n| Some(RowVersion(n)), 3_000), None);
 }
 
 #[test]
-fn memory_of_an_instance_that_gossip_sees_is_kept_though_the_store_stands_still() {
+fn memory_of_an_instance_alive_in_gossip_is_kept_even_if_its_row_is_unchanged() {
     assert_eq!(freed_at(false, |_| Some(RowVersion(3)), 3_000), None);
 }
 
@@ -67,12 +68,12 @@
 }
 
 #[test]
-fn memory_older_than_any_request_is_freed_in_any_case() {
+fn memory_older_than_any_request_is_always_freed() {
     assert_eq!(freed_at(false, |n| Some(RowVersion(n)), 4_000), Some(3_700));
 }
 
 #[test]
-fn an_outage_of_the_table_starts_the_wait_anew() {
+fn an_outage_of_the_table_restarts_the_timeout() {
     let mut sweeper = Sweeper::new(SweepConfig::default());
     for n in (0..70).step_by(5) {
         if n == 10 {
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_reservation_seen_anew_counts_from_then() {
+fn a_reservation_that_reappears_counts_as_new() {
     let mut sweeper =
         Sweeper::new(SweepConfig { max_hold: Duration::from_secs(10), ..SweepConfig::default() });
     assert!(sweeper.find_orphaned(seconds(0), &engine(), &held()).is_empty());
