--- a/crates/ringbend-gateway/src/attempts.rs
+++ b/crates/ringbend-gateway/src/attempts.rs
@@ -5,7 +5,7 @@
 use ringbend_types::{EndpointId, RunState, ServiceName, Timestamp};
 use smallvec::SmallVec;
 
-use crate::budget::RetryBudget;
+use crate::retry_budget::RetryBudget;
 use crate::snapshot::RepeatPolicy;
 
 /// How a send ended without the whole answer that was hoped for.
--- a/crates/ringbend-gateway/src/candidate.rs
+++ b/crates/ringbend-gateway/src/candidate.rs
@@ -4,11 +4,11 @@
 
 use ringbend_types::Timestamp;
 
-use crate::choice::{DISTRUST_COST, FAR_COST, PlacementGoal, TRIED_COST, is_long};
 use crate::directory::Endpoint;
 use crate::engine::EngineProfile;
+use crate::fleet_view::{FleetView, beside_suspect, limited, room, spread};
 use crate::load::{DecodeTask, EndpointLoad};
-use crate::view::{FleetView, beside_suspect, limited, room, spread};
+use crate::placement::{DISTRUST_COST, FAR_COST, PlacementGoal, TRIED_COST, is_long};
 use crate::weights::PlacementWeights;
 
 /// The gap of tight requests that are still to come.
--- a/crates/ringbend-gateway/src/deferral.rs
+++ b/crates/ringbend-gateway/src/deferral.rs
@@ -1,12 +1,12 @@
 //! Whether a long prompt whose turn it is had better wait.
 
 use crate::candidate::millis;
-use crate::choice::{PlacementGoal, place_on_engines, stake};
 use crate::directory::Endpoint;
 use crate::engine::{EngineProfile, MOST_ENGINES};
+use crate::fleet_view::FleetView;
 use crate::load::LATE_STAKE;
-use crate::view::FleetView;
-use crate::waiting::WaitingPrompt;
+use crate::placement::{PlacementGoal, place_on_engines, stake};
+use crate::waiting_prompt::WaitingPrompt;
 
 /// The share of the engines which is enough for any prompt, however long its parts are then: the
 /// longest would wait for ever for short ones. A quarter is left to others.
--- a/crates/ringbend-gateway/src/engine.rs
+++ b/crates/ringbend-gateway/src/engine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::choice::Demand;
+use crate::placement::Demand;
 
 /// The speeds and sizes of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/ringbend-gateway/src/view.rs
+++ b/crates/ringbend-gateway/src/fleet_view.rs
@@ -6,9 +6,9 @@
 
 use crate::directory::Endpoint;
 use crate::engine::EngineProfile;
+use crate::health::HealthTracker;
 use crate::limits::Limits;
 use crate::load::{EndpointLoad, LoadTracker};
-use crate::trust::HealthTracker;
 use crate::weights::PlacementWeights;
 
 /// The share of an engine's memory that is planned with.
--- a/crates/ringbend-gateway/src/job.rs
+++ b/crates/ringbend-gateway/src/job.rs
@@ -6,8 +6,8 @@
 use ringbend_types::{EndpointId, Fingerprint, ServiceName, Timestamp};
 use smallvec::SmallVec;
 
-use crate::choice::{Demand, Placement, PlacementGoal, stake};
 use crate::load::Work;
+use crate::placement::{Demand, Placement, PlacementGoal, stake};
 use crate::weights::PlacementWeights;
 
 /// A request that is to be placed.
--- a/crates/ringbend-gateway/src/lib.rs
+++ b/crates/ringbend-gateway/src/lib.rs
@@ -4,79 +4,79 @@
 //! and services, repeats within a shared budget, and the age of everything that decides. No I/O, no
 //! clock and no thread: the driver passes the time in.
 
+mod admission;
 mod attempts;
 mod backoffs;
-mod budget;
 mod candidate;
-mod choice;
 mod deferral;
 mod directory;
 mod drains;
 mod engine;
 mod events;
+mod fleet_view;
 mod freshness;
-mod gate;
+mod health;
+mod hedge;
 mod job;
 mod limits;
 mod load;
 mod outbox;
 mod pace;
-mod pause;
 mod peers;
-mod places;
+mod permits;
+mod placement;
 mod quarantine;
 mod quiet;
-mod reader;
 mod replica;
 mod reservation;
+mod retry_budget;
 mod schedulers;
-mod second_run;
 mod signals;
 mod snapshot;
+mod store_backoff;
+mod store_readers;
 mod suspect_work;
-mod trust;
 mod turns;
-mod view;
-mod waiting;
+mod waiting_prompt;
 mod weights;
 
+pub use admission::{AdmissionBounds, AdmissionRequest, Admitted, Denied, admit};
 pub use attempts::{Attempts, NextStep, SendOutcome};
 pub use backoffs::{BackoffState, Backoffs};
-pub use budget::{RetryBudget, RetryBudgetBounds};
-pub use choice::{
-    Demand, Placement, PlacementGoal, is_long, place_on_engines, place_on_service, stake,
-};
 pub use directory::{Directory, EndedEndpoints, Endpoint, EndpointChange, OUTAGE_GRACE};
 pub use drains::{Drain, Drains};
 pub use engine::EngineProfile;
 pub use events::{Event, EventId, EventSplitter, EventTooLong};
+pub use fleet_view::FleetView;
 pub use freshness::{Freshness, Proof};
-pub use gate::{AdmissionBounds, AdmissionRequest, Admitted, Denied, admit};
+pub use health::{HealthEvent, HealthTracker};
+pub use hedge::hedge_at;
 pub use job::Job;
 pub use limits::{KnownLimit, LimitSignal, LimitSource, LimitUpdate, Limits, MalformedLimit};
 pub use load::{DecodeTask, EndpointLoad, HelperMemory, LoadTracker, PrefillTask, Work, WorkId};
 pub use outbox::Outbox;
 pub use pace::{LIMITED_QUERY_INTERVAL, Pace, PaceQueries, overdue_after};
-pub use pause::{MAX_SECONDARY_BACKOFF, StoreBackoff, fleet_backoff_factor};
 pub use peers::{
     Arbiter, CopyVersions, HEARTBEAT_INTERVAL, PEER_TIMEOUT, PeerObservation, PeerStatus, Peers,
 };
-pub use places::{PermitWaiter, Permits};
+pub use permits::{PermitWaiter, Permits};
+pub use placement::{
+    Demand, Placement, PlacementGoal, is_long, place_on_engines, place_on_service, stake,
+};
 pub use quarantine::{EndedProcess, Quarantine, STRIKES_TO_HOLD, SuspectState, Suspicion};
-pub use reader::{MEMBER_READ_AGE_MS, READ_AGE_MS, StoreReaders};
 pub use replica::{OfferResult, Replica};
 pub use reservation::{
     RESERVATION_RENEWAL, RESERVATION_TTL, Reservation, ReservationId, ReservationReply,
 };
+pub use retry_budget::{RetryBudget, RetryBudgetBounds};
 pub use schedulers::{InstanceRank, Role, SCHEDULERS_PER_DATA_CENTRE};
-pub use second_run::hedge_at;
 pub use signals::{Draining, EndpointSignals, MalformedSignal, Signal};
 pub use snapshot::{
     Account, CallerLimits, ConfigVersion, RepeatPolicy, Route, RouteEntry, Service, Snapshot,
     SnapshotParts, WeightedService,
 };
-pub use trust::{HealthEvent, HealthTracker};
+pub use store_backoff::{MAX_SECONDARY_BACKOFF, StoreBackoff, fleet_backoff_factor};
+pub use store_readers::{MEMBER_READ_AGE_MS, READ_AGE_MS, StoreReaders};
 pub use turns::{QueuedPrompt, Turn, decide_turn};
-pub use view::FleetView;
-pub use waiting::WaitingPrompt;
+pub use waiting_prompt::WaitingPrompt;
 pub use weights::PlacementWeights;
--- a/crates/ringbend-gateway/src/load.rs
+++ b/crates/ringbend-gateway/src/load.rs
@@ -8,7 +8,7 @@
 
 use crate::pace::Pace;
 use crate::suspect_work::SuspectWork;
-use crate::waiting::WaitingPrompt;
+use crate::waiting_prompt::WaitingPrompt;
 
 /// Names one request's work over all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/ringbend-gateway/src/outbox.rs
+++ b/crates/ringbend-gateway/src/outbox.rs
@@ -2,9 +2,9 @@
 
 use ringbend_types::{EndpointId, EndpointStart, Fingerprint};
 
+use crate::health::HealthEvent;
 use crate::load::WorkId;
 use crate::pace::Pace;
-use crate::trust::HealthEvent;
 
 /// What is still to be told to other instances. Work is this instance's own, or that of instances
 /// which it schedules for.
--- a/crates/ringbend-gateway/src/choice.rs
+++ b/crates/ringbend-gateway/src/placement.rs
@@ -14,9 +14,9 @@
 use crate::candidate::{Engine, lateness, millis};
 use crate::directory::Endpoint;
 use crate::engine::{EngineProfile, MOST_ENGINES};
+use crate::fleet_view::{FleetView, beside_suspect, limited, room};
 use crate::load::HelperMemory;
 use crate::quiet::quiet_engines;
-use crate::view::{FleetView, beside_suspect, limited, room};
 use crate::weights::PlacementWeights;
 
 /// What is asked of the endpoints.
--- a/crates/ringbend-gateway/src/quiet.rs
+++ b/crates/ringbend-gateway/src/quiet.rs
@@ -2,7 +2,7 @@
 
 use crate::directory::Endpoint;
 use crate::engine::EngineProfile;
-use crate::view::FleetView;
+use crate::fleet_view::FleetView;
 
 /// For each candidate, whether it is kept quiet: as many as the requests with short prompts need,
 /// those first that write for most of them. An instance that knows of no other keeps none: its book
--- a/crates/ringbend-gateway/src/turns.rs
+++ b/crates/ringbend-gateway/src/turns.rs
@@ -9,14 +9,14 @@
 
 use ringbend_types::{ServiceName, Timestamp};
 
-use crate::choice::PlacementGoal;
 use crate::deferral::{Wait, had_better_wait};
 use crate::directory::Endpoint;
 use crate::engine::{EngineProfile, MOST_ENGINES};
+use crate::fleet_view::FleetView;
 use crate::load::WorkId;
+use crate::placement::PlacementGoal;
 use crate::quiet::reading_engines;
-use crate::view::FleetView;
-use crate::waiting::WaitingPrompt;
+use crate::waiting_prompt::WaitingPrompt;
 use crate::weights::PlacementWeights;
 
 /// Whether a long prompt may be sent.
