--- a/crates/ringbend-gateway/src/admission.rs
+++ b/crates/ringbend-gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is let in, by the configuration in force and how old it may be.
+//! Admission of requests, based on the configuration in force and its age.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,58 +8,59 @@
 use crate::replica::Replica;
 use crate::snapshot::{Account, Route, Snapshot};
 
-/// How old a configuration may be for which purpose.
+/// Limits on the age of the configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionBounds {
-    /// A key that was taken away is refused for requests sent this long after the change. So a copy
-    /// that was not proved current for as long lets no key in. None where nothing bounds it.
+    /// A revoked key must be refused for requests sent this long after the change, so a copy that
+    /// has not been proved current within this time admits no key. `None` disables the limit.
     pub key_age: Option<Duration>,
-    /// A copy older than this says "come back" in place of "unknown", as a newer configuration may
-    /// know the route or key.
+    /// A copy older than this answers "retry later" instead of "unknown", as a newer configuration
+    /// may know the route or key.
     pub denial_age: Duration,
 }
 
-/// What a request shows at the door.
+/// The parts of a request that admission depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
-    /// The host it names.
+    /// The requested host.
     pub host: &'a str,
-    /// Its path, without the query.
+    /// The path, without the query.
     pub path: &'a str,
-    /// Its key.
+    /// The API key.
     pub key: Option<&'a str>,
 }
 
-/// Why a request is not let in. None of these has run.
+/// Why a request is not admitted. In all cases it has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
     /// No configuration has been read yet.
     NoConfig,
-    /// The configuration is too old to trust keys, or to be sure that something is unknown.
+    /// The configuration is too old to trust keys or to be sure that a route or key does not exist.
     StaleConfig,
     /// No route matches.
     NoRoute,
-    /// The key is missing or belongs to nobody.
+    /// The key is missing or unknown.
     BadKey,
 }
 
-/// A request that was let in.
+/// An admitted request.
 #[derive(Debug, Clone)]
 pub struct Admitted {
-    /// Its route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// The account that its key belongs to; none on a public route.
+    /// The client account of the key; `None` on a public route.
     pub account: Option<Account>,
-    /// The configuration that decided.
+    /// The configuration on which the decision is based.
     pub snapshot: Arc<Snapshot>,
 }
 
-/// Decides on a request that was read at `now`. Its caller sent it no later than that, so a
-/// configuration that is young enough at `now` was young enough when the request was sent.
+/// Decides whether to admit a request that was read at `now`. The caller sent it no later than
+/// that, so a configuration that is recent enough at `now` was recent enough when the request was
+/// sent.
 ///
 /// # Errors
 ///
-/// Why it is not let in.
+/// The reason why the request is not admitted.
 pub fn admit(
     replica: &Replica,
     now: Timestamp,
--- a/crates/ringbend-gateway/src/attempts.rs
+++ b/crates/ringbend-gateway/src/attempts.rs
@@ -1,4 +1,4 @@
-//! What one request does after each of its sends: send again, pass on or give up.
+//! Retry decisions for a single request: after each send, retry, forward the failure or give up.
 
 use std::time::Duration;
 
@@ -8,79 +8,81 @@
 use crate::retry_budget::RetryBudget;
 use crate::snapshot::RepeatPolicy;
 
-/// How a send ended without the whole answer that was hoped for.
+/// Outcome of a send that did not produce a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// No byte of the request left this instance.
+    /// No byte of the request was sent.
     NotSent,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     NotRun,
-    /// Bytes left, and no answer says what came of them.
+    /// Bytes were sent, but no response tells whether the request ran.
     Unknown,
-    /// The endpoint ran the request and answered with a failure.
+    /// The endpoint ran the request and returned an error response.
     FailedAnswer,
 }
 
-/// What to do next.
+/// The action to take after a send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send the request to another endpoint.
+    /// Retry on another endpoint.
     Retry,
-    /// Pass the endpoint's failure on to the caller.
+    /// Forward the endpoint's error response to the caller.
     ForwardFailure,
-    /// End it; the caller hears which of the three words holds.
+    /// Fail the request and report this run state to the caller.
     GiveUp(RunState),
 }
 
-/// Sends that provably ran nothing do not count as runs, but there is an end to them. While the list
-/// of endpoints lags, a prompt that many engines read meets one that leaves after the other.
-const MAX_IDLE_SENDS: u8 = 8;
+/// Upper bound on sends that provably did not run the request. They do not count as runs. While the
+/// endpoint list is stale, a prompt that many engines read can hit several leaving engines in a
+/// row.
+const MAX_UNRUN_SENDS: u8 = 8;
 
-/// The sends of one request so far.
+/// The sends of one request and the state that decides whether it may be retried.
 #[derive(Debug, Clone)]
 pub struct Attempts {
     repeat: RepeatPolicy,
     max_runs: u8,
     deadline: Timestamp,
     runs: u8,
-    idle_sends: u8,
+    unrun_sends: u8,
     tried: SmallVec<[EndpointId; 4]>,
 }
 
 impl Attempts {
-    /// A request that may run on `max_runs` endpoints and must end by `deadline`.
+    /// Creates the state of a request that may run on `max_runs` endpoints and must end by
+    /// `deadline`.
     pub fn new(repeat: RepeatPolicy, max_runs: u8, deadline: Timestamp) -> Self {
         let tried = SmallVec::new();
-        Self { repeat, max_runs: max_runs.max(1), deadline, runs: 0, idle_sends: 0, tried }
+        Self { repeat, max_runs: max_runs.max(1), deadline, runs: 0, unrun_sends: 0, tried }
     }
 
-    /// When the request must have ended.
+    /// The deadline of the request.
     pub fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// The time left.
+    /// The time left until the deadline.
     pub fn remaining(&self, now: Timestamp) -> Duration {
         self.deadline.since(now)
     }
 
-    /// Endpoints that this request was sent to.
+    /// The endpoints to which this request was sent.
     pub fn tried(&self) -> &[EndpointId] {
         &self.tried
     }
 
-    /// What a caller would be told if the request ended now.
+    /// The run state that is reported to the caller if the request fails now.
     pub fn run_state(&self) -> RunState {
         if self.runs == 0 { RunState::NotRun } else { RunState::MayHaveRun }
     }
 
-    /// Notes that the request is about to be sent to `endpoint`.
+    /// Records that the request is about to be sent to `endpoint`.
     pub fn record_send(&mut self, endpoint: &EndpointId) {
         self.tried.push(endpoint.clone());
     }
 
-    /// Decides what follows a send that ended. A repeat is taken out of `budget`, unless nothing
-    /// had reached an endpoint yet.
+    /// Records the outcome of a send and decides what to do next. A retry is charged to `budget`,
+    /// unless no byte of the request was sent.
     pub fn record_outcome(
         &mut self,
         now: Timestamp,
@@ -89,7 +91,7 @@
         budget: &mut RetryBudget,
     ) -> NextStep {
         match end {
-            SendOutcome::NotSent | SendOutcome::NotRun => self.idle_sends += 1,
+            SendOutcome::NotSent | SendOutcome::NotRun => self.unrun_sends += 1,
             SendOutcome::Unknown | SendOutcome::FailedAnswer => self.runs += 1,
         }
         let may_send = self.may_send_again() && now < self.deadline;
@@ -102,48 +104,49 @@
         }
     }
 
-    /// Notes that a send was broken off here: what came of it is not known.
+    /// Records that this instance aborted a send; whether the request ran is unknown.
     pub fn record_aborted(&mut self) {
         self.runs += 1;
     }
 
-    /// Whether a run that has been silent for long is given up for another one. If not, it is waited
-    /// for: silence alone is no reason to end an answer.
+    /// Whether a run that has been silent for long is abandoned in favour of another run. If not,
+    /// the caller keeps waiting for it: silence alone does not end a response.
     pub fn replace_silent(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
         budget: &mut RetryBudget,
     ) -> bool {
-        self.runs_again(now, || budget.take(now, service))
+        self.begin_another_run(now, || budget.take(now, service))
     }
 
-    /// Whether another run is begun beside one that is overdue. It counts as if the first one had been
-    /// replaced.
+    /// Whether to start a hedged run beside one that is overdue. It counts as a run, as if it
+    /// replaced the first one.
     pub fn begin_hedge(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
         budget: &mut RetryBudget,
     ) -> bool {
-        self.runs_again(now, || budget.take_for_hedge(now, service))
+        self.begin_another_run(now, || budget.take_for_hedge(now, service))
     }
 
-    /// Whether there is another run before the first one's end is known; notes it if `take` has one.
-    fn runs_again(&mut self, now: Timestamp, take: impl FnOnce() -> bool) -> bool {
+    /// Whether another run may start before the outcome of the first one is known. Records the run
+    /// if `take` obtains a retry.
+    fn begin_another_run(&mut self, now: Timestamp, take: impl FnOnce() -> bool) -> bool {
         let may = self.repeat.may_repeat() && self.may_run_again() && now < self.deadline;
         let runs = may && take();
         self.runs += u8::from(runs);
         runs
     }
 
-    /// Whether a run whose end is unknown may be followed by another.
+    /// Whether a run with an unknown outcome may be followed by another one.
     pub fn may_run_again(&self) -> bool {
         self.runs + 1 < self.max_runs
     }
 
     fn may_send_again(&self) -> bool {
         let repeat_allowed = self.runs == 0 || self.repeat.may_repeat();
-        repeat_allowed && self.runs < self.max_runs && self.idle_sends <= MAX_IDLE_SENDS
+        repeat_allowed && self.runs < self.max_runs && self.unrun_sends <= MAX_UNRUN_SENDS
     }
 }
--- a/crates/ringbend-gateway/src/backoffs.rs
+++ b/crates/ringbend-gateway/src/backoffs.rs
@@ -1,8 +1,9 @@
-//! Endpoints that have asked this instance to send them nothing for a while.
+//! Endpoints that have asked this instance to back off.
 //!
-//! An overloaded endpoint rejects a request and names a delay. The delay binds the instance that got the response
-//! and no other, until its end: a later success does not shorten it. After it one request at a time is let
-//! through until the endpoint takes one, so that requests that waited do not overload it again at once.
+//! An overloaded endpoint rejects a request and names a delay. The delay binds only the instance
+//! that received the response, and it holds to its end: a later success does not shorten it. After
+//! the delay one request at a time is sent until the endpoint accepts one, so that the requests
+//! that waited do not overload it again at once.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -12,25 +13,28 @@
 
 use crate::directory::Endpoint;
 
-/// The most endpoints that are kept, some 100 bytes each; the one whose delay ends first gives way.
-const MAX_KEPT: usize = 4_096;
+/// The maximum number of tracked endpoints, about 100 bytes each. The one whose delay ends first is
+/// evicted.
+const MAX_ENTRIES: usize = 4_096;
 
-/// How long the one request after a delay is waited for before another one is let through.
+/// How long to wait for the response to the probe request that follows a delay before sending
+/// another one.
 const PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// How long after its end a delay is forgotten if nothing was sent to the endpoint.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+/// How long after its end a delay is dropped if nothing was sent to the endpoint.
+const RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone)]
 struct Backoff {
     start: Option<EndpointStart>,
     until: Timestamp,
-    /// Set while the one request after the delay is waited for.
+    /// Set while the response to the probe request is pending.
     probed_until: Option<Timestamp>,
 }
 
 impl Backoff {
-    /// How the process of `endpoint` relates to the one that asked. Unknown starts are the same process.
+    /// Compares the process of `endpoint` with the one that requested the delay. Processes with an
+    /// unknown start time compare as equal.
     fn order(&self, endpoint: &Endpoint) -> Ordering {
         endpoint.start.zip(self.start).map_or(Ordering::Equal, |(start, known)| start.cmp(&known))
     }
@@ -44,25 +48,26 @@
     }
 }
 
-/// Whether an endpoint may be sent to.
+/// Whether requests may be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackoffState {
-    /// It may.
+    /// Requests may be sent.
     Open,
-    /// Its delay is over, and the one request after it has no response yet: others go elsewhere if they can.
+    /// The delay has ended and a probe request is pending. Other requests use other endpoints if
+    /// they can.
     Probed,
-    /// It may not until then.
+    /// No request may be sent before this time.
     Closed(Timestamp),
 }
 
-/// The delays that endpoints asked of this instance.
+/// The delays that endpoints requested from this instance.
 #[derive(Debug, Clone, Default)]
 pub struct Backoffs {
     entries: HashMap<EndpointId, Backoff>,
 }
 
 impl Backoffs {
-    /// Notes a delay that begins now. Returns whether it ends later than what was known.
+    /// Records a delay that starts now. Returns whether it ends later than the known one.
     pub fn begin(&mut self, now: Timestamp, endpoint: &Endpoint, delay: RetryAfter) -> bool {
         let until = now + delay.delay();
         if let Some(known) = self.entries.get_mut(&endpoint.id) {
@@ -80,7 +85,7 @@
         if until <= now {
             return false;
         }
-        if self.entries.len() >= MAX_KEPT {
+        if self.entries.len() >= MAX_ENTRIES {
             let first = self.entries.iter().min_by_key(|(_, backoff)| backoff.until);
             if let Some(first) = first.map(|(id, _)| id.clone()) {
                 self.entries.remove(&first);
@@ -91,8 +96,8 @@
         true
     }
 
-    /// Notes that the endpoint took a request that was sent at `sent`. Returns whether it takes requests as before by
-    /// that.
+    /// Records that the endpoint accepted a request that was sent at `sent`. Returns whether this
+    /// ends the backoff.
     pub fn taken(&mut self, sent: Timestamp, endpoint: &Endpoint) -> bool {
         let backoff = self.entries.get(&endpoint.id);
         let is_over = backoff.is_some_and(|b| sent >= b.until && b.order(endpoint).is_ge());
@@ -102,31 +107,31 @@
         is_over
     }
 
-    /// Whether the endpoint may be sent to.
+    /// Whether requests may be sent to the endpoint.
     pub fn state(&self, now: Timestamp, endpoint: &Endpoint) -> BackoffState {
         let backoff = self.entries.get(&endpoint.id).filter(|b| b.order(endpoint).is_le());
         backoff.map_or(BackoffState::Open, |backoff| backoff.state(now))
     }
 
-    /// Notes that something is sent to an endpoint that may be sent to.
+    /// Records that a request is sent to an endpoint whose state permits it.
     pub fn sending(&mut self, now: Timestamp, endpoint: &Endpoint) {
         if let Some(backoff) = self.entries.get_mut(&endpoint.id) {
             backoff.probed_until = Some(now + PROBE_TIME);
         }
     }
 
-    /// How many delays are kept.
+    /// The number of tracked delays.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no delay is tracked.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
     /// Drops delays that ended long ago.
     pub fn sweep(&mut self, now: Timestamp) {
-        self.entries.retain(|_, backoff| now.since(backoff.until) < FORGOTTEN_AFTER);
+        self.entries.retain(|_, backoff| now.since(backoff.until) < RETENTION);
     }
 }
--- a/crates/ringbend-gateway/src/candidate.rs
+++ b/crates/ringbend-gateway/src/candidate.rs
@@ -1,4 +1,4 @@
-//! One engine as a candidate for a part of a prompt: what reading there costs it and others.
+//! The cost of running a part of a prompt's prefill on one engine, to the request and to others.
 
 use std::time::Duration;
 
@@ -6,26 +6,26 @@
 
 use crate::directory::Endpoint;
 use crate::engine::EngineProfile;
-use crate::fleet_view::{FleetView, beside_suspect, limited, room, spread};
+use crate::fleet_view::{FleetView, beside_suspect, free_memory, limit_cost, spread_rank};
 use crate::load::{DecodeTask, EndpointLoad};
-use crate::placement::{DISTRUST_COST, FAR_COST, PlacementGoal, TRIED_COST, is_long};
+use crate::placement::{HEALTH_PENALTY_COST, PlacementGoal, REMOTE_COST, TRIED_COST, is_long};
 use crate::weights::PlacementWeights;
 
-/// The gap of tight requests that are still to come.
-const TIGHT_GAP_USUAL: Duration = Duration::from_millis(200);
+/// The event gap assumed for latency-sensitive requests that have not arrived yet.
+const TIGHT_GAP: Duration = Duration::from_millis(200);
 
-/// Filling an engine by this share of its places beyond its fill costs as much as taking another
-/// engine for tight requests.
-const FULL_STEP: f64 = 0.1;
+/// Exceeding the target fill of an engine by this share of its slots costs as much as using an
+/// engine that is not reserved for latency-sensitive requests.
+const OVERFILL_STEP: f64 = 0.1;
 
-/// How long a request waits for a place for each that is before it, in milliseconds: an answer takes
-/// some 1.7 s to write, and sixteen are written at once.
-const PLACE_MS: f64 = 110.0;
+/// Expected wait per request that is ahead in the queue for a slot, in milliseconds: decoding a
+/// response takes about 1.7 s, and sixteen are decoded at once.
+const SLOT_WAIT_MS: f64 = 110.0;
 
-/// What a lead without a free place costs, in stakes.
-const NO_PLACE_COST: f64 = 3.0;
+/// Cost of a lead without a free slot, in stakes.
+const NO_SLOT_COST: f64 = 3.0;
 
-/// How late something is expected to be: from zero well below its limit to one above.
+/// Maps an expected time to a lateness: zero well below the limit, one above it.
 pub(crate) fn lateness(w: &PlacementWeights, ms: f64, limit_ms: f64) -> f64 {
     if limit_ms <= 0.0 {
         return 1.0;
@@ -37,29 +37,31 @@
     duration.as_secs_f64() * 1e3
 }
 
-/// One engine as a candidate for a part of `part_ms`.
+/// One engine as a candidate for a part that takes `part_ms` to read.
 pub(crate) struct Engine<'a> {
     pub(crate) endpoint: &'a Endpoint,
     pub(crate) load: &'a EndpointLoad,
-    /// A pass without reading.
+    /// Duration of a pass without prefill.
     base_ms: f64,
-    /// Requests that it processes at once.
-    places: f64,
+    /// Number of requests the engine processes at once.
+    slots: f64,
     backlog_ms: f64,
-    /// How many times as long as configured its work takes.
+    /// Multiple of the configured time that the engine's work takes.
     pub(crate) pace: f64,
-    /// The longest that it still reads of one prompt.
+    /// The longest remaining prefill of a single prompt on the engine.
     reading_ms: f64,
-    /// Requests with short prompts that write on it.
-    quiet: usize,
-    /// Such requests that it is kept for; zero on engines that long prompts may fill.
-    kept_for: f64,
-    /// What choosing it costs whatever its part.
-    pub(crate) fixed: f64,
-    /// What choosing it as the lead costs more if it names a limit, which none that helps may do.
-    pub(crate) limited: f64,
-    /// Its place in this request's own order of engines, from zero to one.
-    pub(crate) spread: f64,
+    /// Requests with short prompts that decode on the engine.
+    short_prompts: usize,
+    /// Number of such requests for which the engine is reserved; zero on engines that long prompts
+    /// may fill.
+    reserved_for: f64,
+    /// Cost of choosing the engine, whatever its part.
+    pub(crate) fixed_cost: f64,
+    /// Additional cost of choosing it as the lead if it names a rate limit. An engine with a rate
+    /// limit is never a helper.
+    pub(crate) limit_cost: f64,
+    /// Pseudo-random position in this request's order of engines, from zero to one.
+    pub(crate) spread_rank: f64,
 }
 
 impl<'a> Engine<'a> {
@@ -67,36 +69,37 @@
         view: FleetView<'a>,
         profile: &EngineProfile,
         endpoint: &'a Endpoint,
-        kept_for: f64,
+        reserved_for: f64,
     ) -> Self {
         let load = view.load.of(&endpoint.id);
         let pace = load.pace().factor();
-        let far = if endpoint.data_centre == *view.home { 0.0 } else { FAR_COST };
+        let remote = if endpoint.data_centre == *view.home { 0.0 } else { REMOTE_COST };
         let tried = if view.tried.contains(&endpoint.id) { TRIED_COST } else { 0.0 };
-        let distrust = view.health.penalty_ms(view.now, &endpoint.id) * DISTRUST_COST;
+        let health_penalty = view.health.penalty_ms(view.now, &endpoint.id) * HEALTH_PENALTY_COST;
         Self {
             endpoint,
             load,
             base_ms: pace * profile.pass_ms(load.decodes().len() as u32),
-            places: f64::from(profile.slots.max(1)),
+            slots: f64::from(profile.slots.max(1)),
             backlog_ms: pace * millis(load.backlog()),
             pace,
             reading_ms: pace
-                * load.prefills().map(|reader| millis(reader.left)).fold(0.0, f64::max),
-            kept_for,
-            quiet: load.quiet(),
-            fixed: far + tried + distrust + beside_suspect(view, &endpoint.id),
-            limited: limited(view, endpoint),
-            spread: view.spread_seed.map_or(0.0, |draw| spread(draw, &endpoint.id)),
+                * load.prefills().map(|prefill| millis(prefill.left)).fold(0.0, f64::max),
+            reserved_for,
+            short_prompts: load.short_prompts(),
+            fixed_cost: remote + tried + health_penalty + beside_suspect(view, &endpoint.id),
+            limit_cost: limit_cost(view, endpoint),
+            spread_rank: view.spread_seed.map_or(0.0, |draw| spread_rank(draw, &endpoint.id)),
         }
     }
 
-    /// The length of a pass that reads `part_ms` beside what waits.
+    /// Duration of a pass that reads `part_ms` in addition to the queued prefill.
     fn pass_ms(&self, part_ms: f64) -> f64 {
         self.base_ms + self.backlog_ms + part_ms
     }
 
-    /// What reading costs the requests that are on the engine. A part goes before all that waits.
+    /// Cost of the prefill to the requests that are on the engine. A part is read before everything
+    /// that is queued.
     pub(crate) fn cost_to_others(
         &self,
         w: &PlacementWeights,
@@ -105,47 +108,49 @@
         is_part: bool,
     ) -> f64 {
         let (before, after) = (self.pass_ms(0.0), self.pass_ms(part_ms));
-        let to_writer = |writer: &DecodeTask| {
-            let limit = millis(writer.gap);
-            writer.stake * (lateness(w, after, limit) - lateness(w, before, limit))
+        let lateness_cost = |task: &DecodeTask| {
+            let limit = millis(task.gap);
+            task.stake * (lateness(w, after, limit) - lateness(w, before, limit))
         };
-        let now_late: f64 = self.load.about_to_write().map(to_writer).sum();
-        let tight = millis(TIGHT_GAP_USUAL);
-        let to_come = (self.kept_for - self.quiet as f64).max(0.0);
+        let now_late: f64 = self.load.about_to_decode().map(lateness_cost).sum();
+        let tight = millis(TIGHT_GAP);
+        let to_come = (self.reserved_for - self.short_prompts as f64).max(0.0);
         let soon_late = to_come * (lateness(w, after, tight) - lateness(w, before, tight));
-        let delays = if is_part { self.delays(w, now, part_ms) } else { 0.0 };
-        now_late + soon_late + delays + self.quiet as f64 * part_ms / 100.0 * w.read
+        let delays = if is_part { self.queue_delays(w, now, part_ms) } else { 0.0 };
+        now_late + soon_late + delays + self.short_prompts as f64 * part_ms / 100.0 * w.read
     }
 
-    /// What it costs those that wait to be read that a part goes before them.
-    fn delays(&self, w: &PlacementWeights, now: Timestamp, part_ms: f64) -> f64 {
+    /// Cost to the queued prompts of a part being read before them.
+    fn queue_delays(&self, w: &PlacementWeights, now: Timestamp, part_ms: f64) -> f64 {
         let mut done = self.base_ms;
         let mut cost = 0.0;
-        for reader in self.load.prefills() {
-            done += self.pace * millis(reader.left);
-            let limit = millis(reader.first_by.since(now));
+        for prefill in self.load.prefills() {
+            done += self.pace * millis(prefill.left);
+            let limit = millis(prefill.first_by.since(now));
             let later = lateness(w, done + part_ms, limit) - lateness(w, done, limit);
             let delay = (w.delay * part_ms / limit.max(1.0)).min(1.0);
-            cost += reader.stake * (later + delay);
+            cost += prefill.stake * (later + delay);
         }
         cost
     }
 
-    /// When what it is given will have been read.
+    /// Time until the part has been read, in milliseconds.
     ///
-    /// The pass that is under way has to end first. Of one engine half of it is left on average; the
-    /// first event waits for the last of `parts` engines, whose passes are not in step.
+    /// The current pass has to end first. With one engine half of it is left on average; with
+    /// several, the first event waits for the last of `parts` engines, whose passes are not
+    /// aligned.
     pub(crate) fn first_ms(&self, part_ms: f64, parts: usize, leads: bool) -> f64 {
-        let waiting = (self.load.decodes().len() as f64 + 1.0 - self.places).max(0.0);
-        let place = if leads { waiting * PLACE_MS } else { 0.0 };
+        let waiting = (self.load.decodes().len() as f64 + 1.0 - self.slots).max(0.0);
+        let slot_wait_ms = if leads { waiting * SLOT_WAIT_MS } else { 0.0 };
         let last_of = parts as f64 / (parts as f64 + 1.0);
-        let under_way = if self.load.decodes().is_empty() { 0.0 } else { self.base_ms * last_of };
-        // A part goes before all that waits, but not before what is being read.
+        let current_pass_ms =
+            if self.load.decodes().is_empty() { 0.0 } else { self.base_ms * last_of };
+        // A part is read before everything that is queued, but not before what is being read.
         let before = if parts > 1 { self.reading_ms } else { self.backlog_ms };
-        under_way + self.base_ms + before + part_ms + place
+        current_pass_ms + self.base_ms + before + part_ms + slot_wait_ms
     }
 
-    /// What it costs to have it write the answer.
+    /// Cost of decoding the response on this engine.
     pub(crate) fn lead_cost(
         &self,
         view: FleetView<'_>,
@@ -154,21 +159,21 @@
         stake: f64,
     ) -> f64 {
         let w = view.weights;
-        let places = f64::from(profile.slots.max(1));
+        let slots = f64::from(profile.slots.max(1));
         let taken = self.load.decodes().len() as f64;
         let memory = goal.demand.prompt_tokens + goal.demand.answer_tokens;
-        let missing = memory.saturating_sub(room(profile, self.load));
+        let missing = memory.saturating_sub(free_memory(profile, self.load));
         let mut cost = missing as f64 / memory.max(1) as f64 * w.hold;
-        if taken >= places {
-            cost += NO_PLACE_COST * (1.0 + taken - places);
+        if taken >= slots {
+            cost += NO_SLOT_COST * (1.0 + taken - slots);
         }
-        // Parts such as it lately got will come again while the answer is written.
+        // Parts like the recent ones are expected to arrive again while the response is decoded.
         let usual = self.base_ms + self.pace * millis(self.load.usual_part(view.now));
         cost += stake * lateness(w, usual, millis(goal.gap)) * 0.5;
         if !is_long(w, profile, goal.demand) {
-            let share = self.quiet as f64 / places;
-            cost += if self.kept_for == 0.0 { w.open } else { 0.0 };
-            cost += (share - w.full_share).max(0.0) / FULL_STEP * w.open;
+            let share = self.short_prompts as f64 / slots;
+            cost += if self.reserved_for == 0.0 { w.open } else { 0.0 };
+            cost += (share - w.full_share).max(0.0) / OVERFILL_STEP * w.open;
         }
         cost
     }
--- a/crates/ringbend-gateway/src/directory.rs
+++ b/crates/ringbend-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are registered, and since when some of them are not.
+//! The registered endpoints, and how long endpoints whose rows vanished are kept.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -9,22 +9,22 @@
 
 use crate::drains::{Drain, Drains};
 
-/// One registered endpoint.
+/// A registered endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its id; it may start again under the same one.
+    /// Its id. A restarted endpoint may keep it.
     pub id: EndpointId,
-    /// When its process started; none where endpoints do not tell.
+    /// The start time of its process, if endpoints report it.
     pub start: Option<EndpointStart>,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it listens. An address is used again by others once its endpoint has ended.
+    /// The address on which it listens. It may be reused by others after the endpoint has ended.
     pub address: SocketAddrV4,
-    /// Where it runs.
+    /// The data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Requests it processes at once.
+    /// Number of requests it processes at once.
     pub slots: u32,
-    /// Whether its row says that it is about to leave and takes no new work.
+    /// Whether its row announces that it is leaving and takes no new work.
     pub leaving: bool,
 }
 
@@ -35,36 +35,36 @@
     }
 }
 
-/// One change of the list.
+/// A change of the list of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// The endpoint is registered as told.
+    /// The endpoint is registered with these values.
     Present(Endpoint),
-    /// Its entry is gone.
+    /// Its row was removed.
     Gone(EndpointId),
-    /// Its entry is there and cannot be read, or another writer made it.
+    /// Its row exists but cannot be decoded, or was written by another writer.
     Unreadable(EndpointId),
 }
 
-/// Endpoints whose processes have ended: what they held and worked on is gone.
+/// Endpoints whose processes have ended; their memory and work are lost.
 pub type EndedEndpoints = SmallVec<[EndpointId; 2]>;
 
-/// How long an entry that vanished around an outage of the store is still believed in. Entries that
-/// lapsed meanwhile are back within about two seconds of the store's return.
+/// How long an endpoint whose row vanished around a store outage is still considered registered.
+/// Rows that expired during the outage are back within about two seconds of the store's return.
 pub const OUTAGE_GRACE: Duration = Duration::from_millis(2_200);
 
-/// How long an endpoint is remembered after its entry is gone. Heartbeats of a former start have come
-/// back as rows some four seconds after its entry had lapsed.
-const FORMER_TIME: Duration = Duration::from_secs(30);
+/// How long a removed endpoint is remembered. Heartbeats of an earlier process have reappeared as
+/// rows about four seconds after its row had expired.
+const FORMER_RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone)]
 struct Entry {
     endpoint: Endpoint,
-    /// When it was first seen here.
+    /// When this instance first saw it.
     since: Timestamp,
-    /// Its entry is missing; dropped for good at this time.
+    /// Set while its row is missing; it is removed at this time.
     missing_until: Option<Timestamp>,
-    /// The endpoint that took over its address, so that this one has ended.
+    /// The endpoint that took over its address, which proves that this one has ended.
     replaced_by: Option<EndpointId>,
     /// Whether its process has announced that it is draining.
     draining: bool,
@@ -76,7 +76,7 @@
     }
 }
 
-/// An endpoint whose entry is gone.
+/// An endpoint whose row was removed.
 #[derive(Debug, Clone)]
 struct Former {
     start: Option<EndpointStart>,
@@ -87,26 +87,26 @@
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     entries: BTreeMap<EndpointId, Entry>,
-    /// Who is registered at each address. An instance that starts takes in some thousand endpoints, and
-    /// each is held against those at its address.
+    /// The endpoints registered at each address. A starting instance takes in a few thousand
+    /// endpoints and compares each with those at its address.
     at_address: HashMap<SocketAddrV4, SmallVec<[EndpointId; 1]>>,
     former: BTreeMap<EndpointId, Former>,
     drains: Drains,
-    regained_at: Option<Timestamp>,
+    store_recovered_at: Option<Timestamp>,
 }
 
 impl Directory {
-    /// Notes that the store answers again after it did not.
+    /// Records that the store is reachable again after an outage.
     pub fn store_recovered(&mut self, now: Timestamp) {
-        self.regained_at = Some(now);
+        self.store_recovered_at = Some(now);
     }
 
-    /// Takes in one change. Returns the endpoints whose processes it shows to have ended.
+    /// Applies one change. Returns the endpoints whose processes it proves to have ended.
     pub fn apply(&mut self, now: Timestamp, change: EndpointChange) -> EndedEndpoints {
         match change {
             EndpointChange::Present(endpoint) => self.present(now, endpoint),
             EndpointChange::Gone(id) => {
-                self.miss(now, &id);
+                self.mark_missing(now, &id);
                 EndedEndpoints::new()
             }
             EndpointChange::Unreadable(id) => {
@@ -116,18 +116,18 @@
         }
     }
 
-    /// Takes in the whole list. Returns the endpoints whose processes it shows to have ended.
+    /// Replaces the whole list. Returns the endpoints whose processes it proves to have ended.
     pub fn replace(&mut self, now: Timestamp, all: Vec<Endpoint>) -> EndedEndpoints {
         let named: HashSet<&EndpointId> = all.iter().map(|endpoint| &endpoint.id).collect();
         let missing = self.entries.keys().filter(|id| !named.contains(id));
         for id in missing.cloned().collect::<Vec<_>>() {
-            self.miss(now, &id);
+            self.mark_missing(now, &id);
         }
         all.into_iter().flat_map(|endpoint| self.present(now, endpoint)).collect()
     }
 
-    /// Notes when an endpoint's process started, from its own word. Returns it if an earlier process
-    /// has ended by that.
+    /// Records the start time that an endpoint reported itself. Returns the endpoint if this proves
+    /// that an earlier process has ended.
     pub fn note_start(&mut self, id: &EndpointId, start: EndpointStart) -> EndedEndpoints {
         let Some(entry) = self.entries.get_mut(id) else { return EndedEndpoints::new() };
         let before = entry.endpoint.start;
@@ -139,7 +139,7 @@
         EndedEndpoints::from_iter([id.clone()])
     }
 
-    /// Notes that an endpoint has announced that it is draining. Returns whether it is news.
+    /// Records an endpoint's announcement that it is draining. Returns whether it is new.
     pub fn note_drain(&mut self, now: Timestamp, drain: Drain) -> bool {
         let known = self.entries.get(&drain.endpoint).and_then(|entry| entry.endpoint.start);
         let is_former = known.zip(drain.start).is_some_and(|(known, start)| known > start);
@@ -151,7 +151,7 @@
         is_news
     }
 
-    /// Whether an endpoint is about to leave, by its row or by its own announcement.
+    /// Whether an endpoint is leaving, by its row or by its own announcement.
     pub fn is_leaving(&self, endpoint: &Endpoint) -> bool {
         endpoint.leaving || self.drains.contains(endpoint)
     }
@@ -161,7 +161,7 @@
         &self.drains
     }
 
-    /// Drops old announcements of endpoints that are gone.
+    /// Drops old announcements of endpoints that are no longer registered.
     pub fn sweep_drains(&mut self, now: Timestamp) {
         let Self { drains, entries, .. } = self;
         drains.sweep(now, |id| entries.contains_key(id));
@@ -173,10 +173,10 @@
         let former = self.former.get(&endpoint.id).filter(|former| now < former.until);
         let before = known.map(|entry| entry.endpoint.start).or(former.map(|former| former.start));
         match (before.flatten(), endpoint.start) {
-            // A late word of a former start.
+            // A late row of an earlier process.
             (Some(before), Some(start)) if start < before => return ended,
             (Some(before), Some(start)) if start > before => ended.push(endpoint.id.clone()),
-            // Endpoints that tell of their start always do, so another writer made this row.
+            // Endpoints that report their start time always do, so another writer made this row.
             (Some(_), None) => {
                 self.remove(now, &endpoint.id);
                 return ended;
@@ -188,8 +188,8 @@
             Some(entry) if ended.is_empty() => entry.replaced_by.clone(),
             Some(_) => None,
             None if is_new => None,
-            // What was gone and is back has ended if another one has its address by now.
-            None => self.holder(&endpoint).map(|holder| holder.id.clone()),
+            // An endpoint that reappears has ended if another one uses its address by now.
+            None => self.current_at_address(&endpoint).map(|current| current.id.clone()),
         };
         if endpoint.leaving {
             let (id, start) = (endpoint.id.clone(), endpoint.start);
@@ -197,7 +197,7 @@
         }
         let since = known.map_or(now, |entry| entry.since);
         if is_new {
-            ended.extend(self.take_over(now, &endpoint));
+            ended.extend(self.replace_at_address(now, &endpoint));
         }
         let draining = self.drains.contains(&endpoint);
         let entry = Entry { endpoint, since, missing_until: None, replaced_by, draining };
@@ -209,12 +209,12 @@
     fn insert(&mut self, entry: Entry) {
         let (id, address) = (entry.endpoint.id.clone(), entry.endpoint.address);
         if let Some(before) = self.entries.insert(id.clone(), entry) {
-            self.leave_address(&before.endpoint);
+            self.remove_from_address(&before.endpoint);
         }
         self.at_address.entry(address).or_default().push(id);
     }
 
-    fn leave_address(&mut self, endpoint: &Endpoint) {
+    fn remove_from_address(&mut self, endpoint: &Endpoint) {
         if let Some(ids) = self.at_address.get_mut(&endpoint.address) {
             ids.retain(|id| *id != endpoint.id);
             if ids.is_empty() {
@@ -223,22 +223,23 @@
         }
     }
 
-    /// The endpoints at an address that no other one has taken over.
+    /// The endpoints at an address that no other endpoint has replaced.
     fn listening(&self, address: SocketAddrV4) -> impl Iterator<Item = &Entry> {
         let ids = self.at_address.get(&address).into_iter().flatten();
         ids.filter_map(|id| self.entries.get(id)).filter(|entry| entry.replaced_by.is_none())
     }
 
-    /// The endpoint of the same service that listens at this one's address.
-    fn holder(&self, endpoint: &Endpoint) -> Option<&Endpoint> {
+    /// The endpoint of the same service that listens at this endpoint's address.
+    fn current_at_address(&self, endpoint: &Endpoint) -> Option<&Endpoint> {
         let mut others = self.listening(endpoint.address).map(|entry| &entry.endpoint);
         others.find(|other| other.is_at_address_of(endpoint))
     }
 
-    /// Notes that an endpoint that has just started listens at its address, so whichever did before has
-    /// ended. Only within a service: a row of a service that nobody knows proves nothing of others. Of
-    /// two that were first seen together it is not known which started later.
-    fn take_over(&mut self, now: Timestamp, endpoint: &Endpoint) -> EndedEndpoints {
+    /// Marks the previous endpoints at this address as ended, because one that has just started
+    /// listens there. Applies only within a service: a row of an unknown service proves nothing
+    /// about others. Of two endpoints that were first seen together it is unknown which started
+    /// later.
+    fn replace_at_address(&mut self, now: Timestamp, endpoint: &Endpoint) -> EndedEndpoints {
         let others = self.listening(endpoint.address).filter(|entry| entry.since < now);
         let others = others.filter(|entry| entry.endpoint.is_at_address_of(endpoint));
         let ended: EndedEndpoints = others.map(|entry| entry.endpoint.id.clone()).collect();
@@ -250,10 +251,11 @@
         ended
     }
 
-    fn miss(&mut self, now: Timestamp, id: &EndpointId) {
-        let doubt_until = self.regained_at.map(|at| at + OUTAGE_GRACE).filter(|until| now < *until);
+    fn mark_missing(&mut self, now: Timestamp, id: &EndpointId) {
+        let grace_until =
+            self.store_recovered_at.map(|at| at + OUTAGE_GRACE).filter(|until| now < *until);
         let Some(entry) = self.entries.get_mut(id) else { return };
-        match doubt_until {
+        match grace_until {
             Some(until) if !entry.is_leaving() => entry.missing_until = Some(until),
             _ => self.remove(now, id),
         }
@@ -261,9 +263,9 @@
 
     fn remove(&mut self, now: Timestamp, id: &EndpointId) {
         let Some(entry) = self.entries.remove(id) else { return };
-        self.leave_address(&entry.endpoint);
+        self.remove_from_address(&entry.endpoint);
         self.former.retain(|_, former| now < former.until);
-        let former = Former { start: entry.endpoint.start, until: now + FORMER_TIME };
+        let former = Former { start: entry.endpoint.start, until: now + FORMER_RETENTION };
         self.former.insert(id.clone(), former);
         let at_address = self.at_address.get(&entry.endpoint.address).into_iter().flatten();
         for other in at_address {
@@ -273,15 +275,16 @@
         }
     }
 
-    /// Whether the process that was known as `endpoint` has ended, so that nothing more comes of it.
+    /// Whether the process that was known as `endpoint` has ended, so that it will send nothing
+    /// more.
     pub fn has_ended(&self, endpoint: &Endpoint) -> bool {
         let Some(entry) = self.entries.get(&endpoint.id) else { return false };
         let is_later = entry.endpoint.start.zip(endpoint.start).is_some_and(|(new, old)| new > old);
         is_later || entry.replaced_by.is_some()
     }
 
-    /// Whether an endpoint is registered as it was known, and neither leaves nor is missing: if its process
-    /// ends, nobody meant it to.
+    /// Whether an endpoint is registered unchanged and is neither leaving nor missing. If the
+    /// process of such an endpoint ends, it was not shut down deliberately.
     pub fn is_settled(&self, endpoint: &Endpoint) -> bool {
         let Some(entry) = self.entries.get(&endpoint.id) else { return false };
         let is_same = entry.endpoint.start == endpoint.start;
@@ -302,12 +305,12 @@
             .filter(move |e| e.service == *service)
     }
 
-    /// The endpoints whose entries are there, leaving ones included.
+    /// The endpoints whose rows are present, including leaving ones.
     pub fn registered(&self) -> impl Iterator<Item = &Endpoint> {
         self.entries.values().filter(|e| e.missing_until.is_none()).map(|e| &e.endpoint)
     }
 
-    /// An endpoint by id.
+    /// The endpoint with this id.
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.entries.get(id).map(|e| &e.endpoint)
     }
@@ -317,17 +320,17 @@
         self.listening(address).next().map(|entry| &entry.endpoint)
     }
 
-    /// How many endpoints are registered, leaving ones included.
+    /// The number of registered endpoints, including leaving ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// How many registered endpoints are about to leave.
+    /// The number of registered endpoints that are leaving.
     pub fn leaving(&self) -> usize {
         self.entries.values().filter(|entry| entry.is_leaving()).count()
     }
 
-    /// Whether none is registered.
+    /// Whether no endpoint is registered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/ringbend-gateway/src/events.rs
+++ b/crates/ringbend-gateway/src/events.rs
@@ -1,21 +1,21 @@
-//! Cuts an opaque event stream into whole events and reads their ids.
+//! Splits an opaque event stream into complete events and extracts their ids.
 //!
-//! Only whole events are passed on, so that a stream which breaks inside one can be continued after
-//! the last whole event without a caller seeing half of it.
+//! Only complete events are forwarded, so that a stream that breaks inside an event can be resumed
+//! after the last complete one without the caller seeing a partial event.
 
 /// The id of an event.
 pub type EventId = u64;
 
-/// One whole event, as the endpoint sent it.
+/// A complete event, as sent by the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// The bytes, the blank line at the end included.
+    /// The bytes, including the blank line at the end.
     pub bytes: Vec<u8>,
-    /// Its id, if it has one.
+    /// The id, if the event has one.
     pub id: Option<EventId>,
 }
 
-/// The stream sent more than an event may hold without ending it.
+/// The stream exceeded the maximum event size without ending the event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
@@ -27,21 +27,21 @@
 
 impl std::error::Error for EventTooLong {}
 
-/// The longest event that is held; real ones have some hundred bytes.
+/// The maximum size of a buffered event; typical events have a few hundred bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Clone, Default)]
 pub struct EventSplitter {
     buf: Vec<u8>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the events that they complete.
+    /// Appends bytes and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// An event does not end.
+    /// The event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         self.buf.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -57,13 +57,13 @@
         Ok(events)
     }
 
-    /// Whether the stream ended between two events.
+    /// Whether the stream ended at an event boundary.
     pub fn is_between_events(&self) -> bool {
         self.buf.is_empty()
     }
 }
 
-/// Where the first event ends, after its blank line.
+/// The end of the first event, after its blank line.
 fn event_end(buf: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (at, byte) in buf.iter().enumerate() {
--- a/crates/ringbend-gateway/src/fleet_view.rs
+++ b/crates/ringbend-gateway/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What placement and turns are decided from: what is believed of the fleet at one moment.
+//! The input of placement and turn decisions: the estimated state of the fleet at one moment.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -11,66 +11,66 @@
 use crate::load::{EndpointLoad, LoadTracker};
 use crate::weights::PlacementWeights;
 
-/// The share of an engine's memory that is planned with.
+/// The share of an engine's memory that placement uses.
 const MEMORY_SHARE: f64 = 0.95;
 
-/// What a choice is made from.
+/// The input of a placement decision.
 #[derive(Clone, Copy)]
 pub struct FleetView<'a> {
-    /// The time.
+    /// The current time.
     pub now: Timestamp,
-    /// Where this instance runs.
+    /// The data centre of this instance.
     pub home: &'a DataCentre,
-    /// What runs where.
+    /// The load of all endpoints.
     pub load: &'a LoadTracker,
-    /// Where no other instance is known, a number drawn for this request. The book misses what
-    /// others place then, so requests are not gathered on few engines, and the number orders those
-    /// that cost the same: without it a crowd of callers that comes back to instances that have just
-    /// started meets the same engines.
+    /// Set if no other instance is known: a random number drawn for this request. The load of
+    /// others is unknown then, so requests are not concentrated on few engines, and the number
+    /// breaks ties between engines of the same cost. Without it, a burst of callers that return to
+    /// instances which have just started would reach the same engines.
     pub spread_seed: Option<u64>,
-    /// Whether it is alone and started moments ago, so that others may be heard soon. Long prompts
-    /// wait for that: those that come back after a loss of all instances were sent by each of them to
-    /// the same engines at once.
+    /// Whether the instance is alone and has just started, so that others may be heard soon. Long
+    /// prompts wait for that: after a loss of all instances, each instance sent the returning long
+    /// prompts to the same engines at once.
     pub starting: bool,
-    /// What counts how much.
+    /// The weights of the cost function.
     pub weights: &'a PlacementWeights,
-    /// Which endpoints answered well.
+    /// The health of endpoints.
     pub health: &'a HealthTracker,
-    /// Endpoints that this request was sent to before.
+    /// The endpoints to which this request was already sent.
     pub tried: &'a [EndpointId],
     /// Whether the request is suspected of ending endpoints.
     pub is_suspect: bool,
-    /// What endpoints take, by their own word.
+    /// The rate limits that endpoints named.
     pub limits: &'a Limits,
 }
 
-/// What it costs to put a suspect beside another, in stakes: more than to be late, and less than to leave
-/// the last endpoint. If the endpoint ends, neither can be told from the other.
+/// Cost of placing a suspect beside another, in stakes: more than being late, and less than using
+/// the last endpoint without a suspect. If the endpoint ends, neither can be told from the other.
 const BESIDE_SUSPECT_COST: f64 = 20.0;
 
-/// What it costs that a suspect is on the endpoint already.
+/// The cost if a suspect already runs on the endpoint.
 pub(crate) fn beside_suspect(view: FleetView<'_>, endpoint: &EndpointId) -> f64 {
     let is_beside = view.is_suspect && view.load.suspects_on(view.now, endpoint).next().is_some();
     if is_beside { BESIDE_SUSPECT_COST } else { 0.0 }
 }
 
-/// What it costs to take a place of an endpoint that has few, in stakes. A place is one request, however long its
-/// prompt, so it is left to those that gain most by it.
+/// Cost of using a permit of a rate-limited endpoint, in stakes. A permit admits one request,
+/// however long its prompt, so permits are left to the requests that gain most from them.
 const LIMITED_COST: f64 = 0.1;
 
-/// What it costs that the endpoint names a limit.
-pub(crate) fn limited(view: FleetView<'_>, endpoint: &Endpoint) -> f64 {
+/// The cost if the endpoint names a rate limit.
+pub(crate) fn limit_cost(view: FleetView<'_>, endpoint: &Endpoint) -> f64 {
     if view.limits.rate(endpoint).is_some() { LIMITED_COST } else { 0.0 }
 }
 
-/// Memory that is free on an engine, in tokens.
-pub(crate) fn room(profile: &EngineProfile, load: &EndpointLoad) -> u64 {
+/// Free memory of an engine, in tokens.
+pub(crate) fn free_memory(profile: &EngineProfile, load: &EndpointLoad) -> u64 {
     let planned = (profile.memory_tokens as f64 * MEMORY_SHARE) as u64;
     planned.saturating_sub(load.memory_tokens())
 }
 
-/// A number between zero and one, always the same for a seed and an endpoint.
-pub(crate) fn spread(seed: u64, endpoint: &EndpointId) -> f64 {
+/// A number between zero and one that depends only on the seed and the endpoint.
+pub(crate) fn spread_rank(seed: u64, endpoint: &EndpointId) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, endpoint.as_str()).hash(&mut hasher);
     (hasher.finish() % 1_000) as f64 / 1_000.0
--- a/crates/ringbend-gateway/src/freshness.rs
+++ b/crates/ringbend-gateway/src/freshness.rs
@@ -1,24 +1,24 @@
-//! When a watched table was last proved current.
+//! Tracks when a watched table was last known to be current.
 //!
-//! An answer proves the table current as of the moment the store made it. That moment lies between
-//! sending and receiving, which for a call that waits for changes is seconds apart. The store tells
-//! its own steady clock in each answer; pairing it once with the local clock on a quick call places
-//! later answers exactly, on the early side.
+//! A response proves that the table was current when the store created the response. That moment
+//! lies between sending the call and receiving the response, which can be seconds apart for a long
+//! poll. Each response carries the store's monotonic clock. Pairing that clock once with the local
+//! clock on a quick call places later responses exactly, never later than they were created.
 
 use std::time::Duration;
 
 use ringbend_types::Timestamp;
 
-/// One answer of the store.
+/// A response of the store that proves the table current.
 #[derive(Debug, Clone, Copy)]
 pub struct Proof {
     /// When the call was sent.
     pub sent: Timestamp,
-    /// The store's steady clock as the answer was made.
+    /// The store's monotonic clock when the response was created.
     pub store_clock: Duration,
 }
 
-/// The earliest local time that a reading of the store's clock can stand for, and the last proof.
+/// The pairing of the store's clock with the local clock, and the time of the last proof.
 #[derive(Debug, Clone, Default)]
 pub struct Freshness {
     pairing: Option<Proof>,
@@ -26,16 +26,16 @@
 }
 
 impl Freshness {
-    /// Takes in an answer. Returns when the table was current by it.
+    /// Records a response. Returns the time at which it proves the table current.
     ///
-    /// `paired` says that the call did not wait, so that it gives a tight pairing of the clocks.
+    /// `paired` means that the call did not wait, so that it gives a tight pairing of the clocks.
     pub fn prove(&mut self, proof: Proof, paired: bool) -> Timestamp {
         let by_clock = self.pairing.and_then(|p| {
             let passed = proof.store_clock.checked_sub(p.store_clock)?;
             Some(p.sent + passed)
         });
         if paired || by_clock.is_none_or(|at| at < proof.sent) {
-            // A clock that fell back belongs to a store that started anew.
+            // A clock that went backwards belongs to a restarted store.
             self.pairing = Some(proof);
         }
         let at = by_clock.filter(|_| !paired).map_or(proof.sent, |at| at.max(proof.sent));
@@ -43,7 +43,7 @@
         at
     }
 
-    /// Takes in a proof that another instance made, placed on this one's clock.
+    /// Records a proof made by another instance, converted to this instance's clock.
     pub fn prove_at(&mut self, at: Timestamp) {
         self.proved_at = Some(self.proved_at.map_or(at, |last| last.max(at)));
     }
@@ -53,7 +53,7 @@
         self.proved_at
     }
 
-    /// How long ago that was.
+    /// The time since the table was last known to be current.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.proved_at.map(|at| now.since(at))
     }
--- a/crates/ringbend-gateway/src/health.rs
+++ b/crates/ringbend-gateway/src/health.rs
@@ -1,90 +1,91 @@
-//! How far endpoints are trusted, from the results of the requests they were given.
+//! Health of endpoints, from the results of the requests they were sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use ringbend_types::{EndpointId, Timestamp};
 
-/// A result of one request at one endpoint.
+/// The result of one request at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthEvent {
-    /// It answered in full.
+    /// It responded completely.
     Good,
-    /// It could not be reached, broke off, or answered nonsense.
+    /// It could not be reached, broke off or sent an invalid response.
     Bad,
-    /// It was full.
+    /// It rejected the request because it was full.
     Full,
-    /// Another endpoint answered at its address.
+    /// Another endpoint responded at its address.
     Foreign,
 }
 
-/// How long a failure counts against an endpoint.
-const BAD_TIME: Duration = Duration::from_millis(2_500);
+/// How long a failure counts against an endpoint, multiplied by the number of recent failures.
+const FAILURE_TIME: Duration = Duration::from_millis(2_500);
 
-/// The most failures that count at once.
-const MOST_BAD: f64 = 4.0;
+/// The maximum number of failures that count at once.
+const MAX_FAILURES: f64 = 4.0;
 
-/// How long a refusal for want of room counts.
+/// How long a rejection by a full endpoint counts.
 const FULL_TIME: Duration = Duration::from_millis(300);
 
-/// How long an endpoint at whose address another one answered is left spread_seed: longer than rows of
-/// endpoints that have ended stand in the table.
+/// How long an endpoint is avoided after another one responded at its address: longer than rows of
+/// ended endpoints remain in the table.
 const FOREIGN_TIME: Duration = Duration::from_secs(10);
 
-/// What one failure costs against other endpoints, in milliseconds of waiting.
-const BAD_MS: f64 = 2_000.0;
+/// The cost of one failure, in milliseconds of waiting.
+const FAILURE_PENALTY_MS: f64 = 2_000.0;
 
-/// What a refusal costs, in milliseconds of waiting.
-const FULL_MS: f64 = 500.0;
+/// The cost of a rejection, in milliseconds of waiting.
+const FULL_PENALTY_MS: f64 = 500.0;
 
 #[derive(Debug, Clone, Default)]
 struct Record {
-    bad: f64,
-    bad_until: Timestamp,
+    failures: f64,
+    failing_until: Timestamp,
     full_until: Timestamp,
 }
 
-/// Results by endpoint.
+/// The recent results of each endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct HealthTracker {
     records: BTreeMap<EndpointId, Record>,
 }
 
 impl HealthTracker {
-    /// Takes in a result.
+    /// Records a result.
     pub fn note(&mut self, now: Timestamp, id: &EndpointId, event: HealthEvent) {
         if event == HealthEvent::Good && !self.records.contains_key(id) {
             return;
         }
         let record = self.records.entry(id.clone()).or_default();
         match event {
-            HealthEvent::Good => record.bad *= 0.5,
+            HealthEvent::Good => record.failures *= 0.5,
             HealthEvent::Bad => {
-                record.bad = (record.bad + 1.0).min(MOST_BAD);
-                record.bad_until = now + BAD_TIME.mul_f64(record.bad);
+                record.failures = (record.failures + 1.0).min(MAX_FAILURES);
+                record.failing_until = now + FAILURE_TIME.mul_f64(record.failures);
             }
             HealthEvent::Full => record.full_until = now + FULL_TIME,
             HealthEvent::Foreign => {
-                record.bad = MOST_BAD;
-                record.bad_until = now + FOREIGN_TIME;
+                record.failures = MAX_FAILURES;
+                record.failing_until = now + FOREIGN_TIME;
             }
         }
     }
 
-    /// What choosing the endpoint costs for its past, in milliseconds of waiting.
+    /// The cost of choosing the endpoint because of its recent results, in milliseconds of waiting.
     pub fn penalty_ms(&self, now: Timestamp, id: &EndpointId) -> f64 {
         let Some(record) = self.records.get(id) else { return 0.0 };
-        let bad = if now < record.bad_until { record.bad * BAD_MS } else { 0.0 };
-        let full = if now < record.full_until { FULL_MS } else { 0.0 };
-        bad + full
+        let failures =
+            if now < record.failing_until { record.failures * FAILURE_PENALTY_MS } else { 0.0 };
+        let full = if now < record.full_until { FULL_PENALTY_MS } else { 0.0 };
+        failures + full
     }
 
-    /// Forgets an endpoint's past, as its process has ended.
+    /// Drops the results of an endpoint whose process has ended.
     pub fn forget(&mut self, id: &EndpointId) {
         self.records.remove(id);
     }
 
-    /// Forgets endpoints that are no longer registered.
+    /// Drops endpoints that are no longer registered.
     pub fn retain(&mut self, is_registered: impl Fn(&EndpointId) -> bool) {
         self.records.retain(|id, _| is_registered(id));
     }
--- a/crates/ringbend-gateway/src/job.rs
+++ b/crates/ringbend-gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A request as whoever places it needs to know it.
+//! A request in the form that placement needs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,44 +10,46 @@
 use crate::placement::{Demand, Placement, PlacementGoal, stake};
 use crate::weights::PlacementWeights;
 
-/// A request that is to be placed.
+/// A request to be placed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// The caller's id of the request, for logs.
+    /// The caller's request id, for logs.
     pub request: Arc<str>,
-    /// The service that serves it.
+    /// The service that handles the request.
     pub service: ServiceName,
-    /// What it asks of an engine; none for a plain service.
+    /// The size of the request in tokens; `None` for a plain service.
     pub demand: Option<Demand>,
-    /// When it arrived.
+    /// When the request arrived.
     pub since: Timestamp,
     /// When its first event is due.
     pub first_by: Timestamp,
-    /// The longest pause between events that is on time.
+    /// The longest gap between events that counts as on time.
     pub gap: Duration,
-    /// When its caller leaves if no event has come.
+    /// When its caller disconnects if no event has arrived.
     pub caller_timeout_at: Timestamp,
-    /// When it must have ended.
+    /// The deadline of the request.
     pub deadline: Timestamp,
-    /// Endpoints that it was sent to before.
+    /// The endpoints to which it was already sent.
     pub tried: SmallVec<[EndpointId; 4]>,
-    /// Endpoints that its instance must not send to now, as they asked it to back off.
+    /// Endpoints that its instance must not use now, because they asked it to back off.
     pub backing_off: Vec<EndpointId>,
-    /// Whether it is placed at once, however long its prompt is: its stream has begun.
+    /// Whether to place it at once, however long its prompt is, because its stream has begun.
     pub at_once: bool,
-    /// Its rank among those that wait for a place, zero first: by its account, or by its route.
+    /// Its priority among requests that wait for a permit, zero first: that of its client account,
+    /// or of its route.
     pub rank: u8,
-    /// Set if endpoints ended that ran the request: it runs on one at a time, apart from other suspects.
+    /// Set if endpoints ended while they ran the request. Such a request runs on one endpoint at a
+    /// time, apart from other suspects.
     pub suspect: Option<Fingerprint>,
 }
 
 impl Job {
-    /// What is wanted of a placement; `demand` is the request's own.
+    /// The placement goal of the request; `demand` is its own size.
     pub fn goal(&self, now: Timestamp, demand: Demand) -> PlacementGoal {
         PlacementGoal { demand, first_in: self.first_by.since(now), gap: self.gap }
     }
 
-    /// The work that it puts on endpoints if it is placed like this.
+    /// The load that the request puts on endpoints with this placement.
     pub fn work(&self, w: &PlacementWeights, placement: &Placement, long: bool) -> Work {
         let demand = self.demand.unwrap_or(Demand { prompt_tokens: 0, answer_tokens: 0 });
         let memory = demand.prompt_tokens + demand.answer_tokens;
--- a/crates/ringbend-gateway/src/lib.rs
+++ b/crates/ringbend-gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions of the opaque path: requests and answers whose bodies are passed through unread.
+//! Routing and placement decisions for requests and responses whose bodies are forwarded unread.
 //!
-//! Routes by host and path, keys to accounts, endpoints from a watched list, placement on engines
-//! and services, repeats within a shared budget, and the age of everything that decides. No I/O, no
-//! clock and no thread: the driver passes the time in.
+//! Covers routing by host and path, API keys and client accounts, the watched list of endpoints,
+//! placement on engines and services, retries within a shared budget, and the age of the data
+//! behind each decision. Does no I/O, reads no clock and starts no threads: the driver passes the
+//! time in.
 
 mod admission;
 mod attempts;
--- a/crates/ringbend-gateway/src/limits.rs
+++ b/crates/ringbend-gateway/src/limits.rs
@@ -1,12 +1,14 @@
-//! How many requests a second endpoints take from all instances together, by their own word.
+//! Rate limits that endpoints announce for all instances together.
 //!
-//! An endpoint in need names its limit in its answers, for as long as it holds. Whichever instance reads
-//! such an answer tells all others, so that one that has sent nothing there knows as well.
+//! An overloaded endpoint names its limit in its responses for as long as it applies. The instance
+//! that reads such a response tells all others, so that instances that have sent nothing to the
+//! endpoint know it as well.
 //!
-//! What is known of an endpoint has a version, which is raised by each instance that hears something else than
-//! it knows. A later version goes before an earlier one, and of two that were raised side by side the
-//! tighter limit, so instances can tell each other in any order, more than once, and end up with the same.
-//! If that is not what the endpoint says any more, its next answer raises the version again.
+//! The known limit of an endpoint has a version, which an instance raises when it observes a
+//! different limit. A later version supersedes an earlier one, and of two equal versions the
+//! tighter limit wins, so instances converge whatever the order and number of messages. If the
+//! result does not match what the endpoint announces now, its next response raises the version
+//! again.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -16,25 +18,27 @@
 
 use crate::directory::Endpoint;
 
-/// The most endpoints of which something is remembered, some 100 bytes each. What gives way first names no limit
-/// any more, and of those what was heard longest ago.
-const MOST_KEPT: usize = 4_096;
+/// The maximum number of endpoints with a record, about 100 bytes each. Endpoints that no longer
+/// name a limit are evicted first, and among those the one heard from longest ago.
+const MAX_RECORDS: usize = 4_096;
 
-/// How long it is remembered that an endpoint names no limit any more: longer than word of its former limit is told.
-const ENDED_TIME: Duration = Duration::from_secs(60);
+/// How long to remember that an endpoint no longer names a limit: longer than messages about its
+/// former limit circulate.
+const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What has changed within this time is told again with each heartbeat, as datagrams are lost. Longer than an
-/// instance may be silent before it counts as gone; one that comes back after that is told all.
-const TOLD_AGAIN: Duration = Duration::from_secs(5);
+/// Changes within this time are repeated with each heartbeat, since datagrams can be lost. Longer
+/// than the time after which a silent instance counts as gone; an instance that returns later
+/// receives everything.
+const REPEAT_TIME: Duration = Duration::from_secs(5);
 
-/// Why what an answer says of a limit cannot be used.
+/// Why an announced limit cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MalformedLimit {
-    /// It is no text.
+    /// The value is not text.
     NotText,
-    /// It is said more than once.
+    /// The limit is given more than once.
     Duplicate,
-    /// It is no rate of requests.
+    /// The value is not a rate of requests.
     Rate(ParseDecimalError),
 }
 
@@ -50,49 +54,50 @@
 
 impl std::error::Error for MalformedLimit {}
 
-/// What an endpoint's answer says of its limit.
+/// The limit in a response of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LimitSignal {
-    /// Nothing: it takes what comes.
+    /// No limit: the endpoint takes any number of requests.
     #[default]
     None,
-    /// It takes so many requests from all instances together.
+    /// The rate of requests that the endpoint accepts from all instances together.
     Rate(RequestRate),
-    /// Something that cannot be read. What it said before holds on.
+    /// A limit that cannot be parsed. The previous one stays in force.
     Malformed(MalformedLimit),
 }
 
-/// Which answer an endpoint's word comes from.
+/// The kind of response that carried a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitSource {
-    /// The answer to a request of a caller.
+    /// The response to a request of a caller.
     Response,
-    /// What it says when it is asked how it is. Not every endpoint names its limit there.
+    /// The response to a status query. Not every endpoint names its limit there.
     Report,
-    /// The answer to an order, where a limit that is not named says nothing.
+    /// The response to a reservation, where the absence of a limit means nothing.
     Reservation,
 }
 
-/// What is known of one endpoint's limit, as instances tell each other.
+/// The known limit of one endpoint, as exchanged between instances.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownLimit {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// When its process started, if endpoints tell. One that starts again has no limit until it names one.
+    /// The start time of its process, if endpoints report it. A restarted endpoint has no limit
+    /// until it names one.
     pub start: Option<EndpointStart>,
-    /// Raised each time that something else is heard of it.
+    /// Raised each time a different limit is observed.
     pub version: u64,
-    /// What it takes from all instances together; none if it takes what comes.
+    /// The rate it accepts from all instances together; `None` if it has no limit.
     pub rate: Option<RequestRate>,
 }
 
 impl KnownLimit {
-    /// Whether the other is about an earlier process of the endpoint.
+    /// Whether this record is about a later process than the one with start time `other`.
     fn is_after(&self, other: Option<EndpointStart>) -> bool {
         self.start.zip(other).is_some_and(|(own, other)| own > other)
     }
 
-    /// Whether this goes before what is known.
+    /// Whether this record supersedes the known one.
     fn replaces(&self, known: &Self) -> bool {
         if self.is_after(known.start) || known.is_after(self.start) {
             return self.is_after(known.start);
@@ -105,31 +110,31 @@
     }
 }
 
-/// What an answer's word means for what is known.
+/// The effect of an observation on what is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitUpdate {
-    /// Nothing new.
+    /// Nothing changed.
     Unchanged,
-    /// Something else is known now.
+    /// The known limit changed.
     Changed,
-    /// It cannot be read, where the last word could.
+    /// The limit cannot be parsed, whereas the previous one could.
     Malformed(MalformedLimit),
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
     known: KnownLimit,
-    /// When this instance last heard something new.
-    changed: Timestamp,
-    /// When this instance last heard or was told that it names a limit.
-    named: Timestamp,
-    /// Whether it has named this limit when it was asked how it is.
+    /// When this instance last learned something new.
+    changed_at: Timestamp,
+    /// When this instance last observed or was told that the endpoint names a limit.
+    named_at: Timestamp,
+    /// Whether the endpoint has named this limit in a status report.
     in_report: bool,
-    is_bad: bool,
+    is_malformed: bool,
 }
 
 impl Entry {
-    /// Whether the limit has ended if it is not named there.
+    /// Whether a response from this source that names no limit ends the limit.
     fn ends_by(&self, from: LimitSource) -> bool {
         match from {
             LimitSource::Response => true,
@@ -139,45 +144,49 @@
     }
 }
 
-/// The limits that endpoints name.
+/// The rate limits of endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Limits {
     entries: HashMap<EndpointId, Entry>,
 }
 
 impl Limits {
-    /// Takes in the word of an answer to what was sent to `endpoint` at `asked`.
+    /// Records the limit in a response to what was sent to `endpoint` at `asked`.
     ///
-    /// Answers overtake each other, so one without a limit ends it only if it was asked for after the
-    /// limit was last named.
+    /// Responses can overtake each other, so one without a limit ends the known limit only if it
+    /// was requested after the limit was last named.
     pub fn observe(
         &mut self,
         now: Timestamp,
         endpoint: &Endpoint,
         asked: Timestamp,
-        word: LimitSignal,
+        signal: LimitSignal,
         from: LimitSource,
     ) -> LimitUpdate {
-        self.forget_former(endpoint);
+        self.drop_former_process(endpoint);
         let Some(entry) = self.entries.get_mut(&endpoint.id) else {
-            return self.first_word(now, endpoint, word, from);
+            return self.first_signal(now, endpoint, signal, from);
         };
         if entry.known.is_after(endpoint.start) {
             return LimitUpdate::Unchanged;
         }
-        let rate = match word {
+        let rate = match signal {
             LimitSignal::Malformed(why) => {
-                let was_bad = std::mem::replace(&mut entry.is_bad, true);
-                return if was_bad { LimitUpdate::Unchanged } else { LimitUpdate::Malformed(why) };
+                let was_malformed = std::mem::replace(&mut entry.is_malformed, true);
+                return if was_malformed {
+                    LimitUpdate::Unchanged
+                } else {
+                    LimitUpdate::Malformed(why)
+                };
             }
             LimitSignal::Rate(rate) => Some(rate),
             LimitSignal::None => None,
         };
-        entry.is_bad = false;
+        entry.is_malformed = false;
         if rate.is_some() {
-            entry.named = now;
+            entry.named_at = now;
             entry.in_report |= from == LimitSource::Report;
-        } else if asked <= entry.named || !entry.ends_by(from) {
+        } else if asked <= entry.named_at || !entry.ends_by(from) {
             return LimitUpdate::Unchanged;
         }
         if entry.known.rate == rate {
@@ -185,19 +194,19 @@
         }
         entry.known.rate = rate;
         entry.known.version += 1;
-        entry.changed = now;
+        entry.changed_at = now;
         entry.in_report &= rate.is_some();
         LimitUpdate::Changed
     }
 
-    fn first_word(
+    fn first_signal(
         &mut self,
         now: Timestamp,
         endpoint: &Endpoint,
-        word: LimitSignal,
+        signal: LimitSignal,
         from: LimitSource,
     ) -> LimitUpdate {
-        let (rate, heard) = match word {
+        let (rate, update) = match signal {
             LimitSignal::None => return LimitUpdate::Unchanged,
             LimitSignal::Rate(rate) => (Some(rate), LimitUpdate::Changed),
             LimitSignal::Malformed(why) => (None, LimitUpdate::Malformed(why)),
@@ -206,22 +215,24 @@
         let version = u64::from(rate.is_some());
         let known = KnownLimit { endpoint: id, start, version, rate };
         self.insert(now, known, from == LimitSource::Report, rate.is_none());
-        heard
+        update
     }
 
-    fn insert(&mut self, now: Timestamp, known: KnownLimit, in_report: bool, is_bad: bool) {
-        if self.entries.len() >= MOST_KEPT {
-            let least = self.entries.iter().min_by_key(|(_, e)| (e.known.rate.is_some(), e.named));
+    fn insert(&mut self, now: Timestamp, known: KnownLimit, in_report: bool, is_malformed: bool) {
+        if self.entries.len() >= MAX_RECORDS {
+            let least =
+                self.entries.iter().min_by_key(|(_, e)| (e.known.rate.is_some(), e.named_at));
             if let Some(least) = least.map(|(id, _)| id.clone()) {
                 self.entries.remove(&least);
             }
         }
         let id = known.endpoint.clone();
-        self.entries.insert(id, Entry { known, changed: now, named: now, in_report, is_bad });
+        self.entries
+            .insert(id, Entry { known, changed_at: now, named_at: now, in_report, is_malformed });
     }
 
-    /// Forgets what an earlier process of the endpoint named.
-    fn forget_former(&mut self, endpoint: &Endpoint) {
+    /// Drops the record of an earlier process of the endpoint.
+    fn drop_former_process(&mut self, endpoint: &Endpoint) {
         let is_former = |entry: &Entry| {
             endpoint.start.zip(entry.known.start).is_some_and(|(new, old)| new > old)
         };
@@ -230,73 +241,74 @@
         }
     }
 
-    /// Takes in what another instance knows. Returns whether something else is known now.
-    pub fn merge(&mut self, now: Timestamp, told: &KnownLimit) -> bool {
-        let Some(entry) = self.entries.get_mut(&told.endpoint) else {
-            self.insert(now, told.clone(), false, false);
-            return told.rate.is_some();
+    /// Merges a record received from another instance. Returns whether the known limit changed.
+    pub fn merge(&mut self, now: Timestamp, received: &KnownLimit) -> bool {
+        let Some(entry) = self.entries.get_mut(&received.endpoint) else {
+            self.insert(now, received.clone(), false, false);
+            return received.rate.is_some();
         };
-        if !told.replaces(&entry.known) {
+        if !received.replaces(&entry.known) {
             return false;
         }
-        let has_changed = told.rate != entry.known.rate;
-        let is_former = told.is_after(entry.known.start);
-        entry.known = told.clone();
-        entry.changed = now;
-        entry.in_report &= told.rate.is_some() && !is_former;
-        if told.rate.is_some() {
-            entry.named = now;
+        let has_changed = received.rate != entry.known.rate;
+        let is_former = received.is_after(entry.known.start);
+        entry.known = received.clone();
+        entry.changed_at = now;
+        entry.in_report &= received.rate.is_some() && !is_former;
+        if received.rate.is_some() {
+            entry.named_at = now;
         }
         has_changed
     }
 
-    /// What an endpoint takes from all instances together; none if it takes what comes.
+    /// The rate an endpoint accepts from all instances together; `None` if it has no limit.
     pub fn rate(&self, endpoint: &Endpoint) -> Option<RequestRate> {
         let known = &self.entries.get(&endpoint.id)?.known;
         let is_former = endpoint.start.zip(known.start).is_some_and(|(new, old)| new > old);
         known.rate.filter(|_| !is_former)
     }
 
-    /// Whether the endpoint has named its limit when it was asked how it is, so that its reports tell when it ends.
+    /// Whether the endpoint has named its limit in a status report, so that its reports show when
+    /// the limit ends.
     pub fn is_in_reports(&self, endpoint: &EndpointId) -> bool {
         self.entries.get(endpoint).is_some_and(|entry| entry.in_report)
     }
 
-    /// What is known of this endpoint.
+    /// The record of this endpoint.
     pub fn known(&self, endpoint: &EndpointId) -> Option<&KnownLimit> {
         self.entries.get(endpoint).map(|entry| &entry.known)
     }
 
-    /// What is known of each endpoint that names a limit.
+    /// The records of all endpoints that name a limit.
     pub fn all(&self) -> impl Iterator<Item = &KnownLimit> {
         self.entries.values().map(|entry| &entry.known).filter(|known| known.rate.is_some())
     }
 
-    /// What has changed lately, to be told again.
+    /// Recent changes, to be sent again.
     pub fn recent(&self, now: Timestamp) -> impl Iterator<Item = &KnownLimit> {
-        let recent = move |entry: &&Entry| now.since(entry.changed) < TOLD_AGAIN;
+        let recent = move |entry: &&Entry| now.since(entry.changed_at) < REPEAT_TIME;
         self.entries.values().filter(recent).map(|entry| &entry.known)
     }
 
-    /// Whether nothing is remembered of any endpoint.
+    /// Whether there is no record of any endpoint.
     pub fn has_no_records(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many endpoints name a limit.
+    /// The number of endpoints that name a limit.
     pub fn len(&self) -> usize {
         self.all().count()
     }
 
-    /// Whether none does.
+    /// Whether no endpoint names a limit.
     pub fn is_empty(&self) -> bool {
         self.all().next().is_none()
     }
 
-    /// Forgets endpoints that have named none for long, and those that are gone.
+    /// Drops endpoints that have named no limit for long, and those that are gone.
     pub fn sweep(&mut self, now: Timestamp, is_gone: impl Fn(&EndpointId) -> bool) {
         self.entries.retain(|id, entry| {
-            let is_old = now.since(entry.changed) >= ENDED_TIME;
+            let is_old = now.since(entry.changed_at) >= ENDED_RETENTION;
             !is_old || (entry.known.rate.is_some() && !is_gone(id))
         });
     }
--- a/crates/ringbend-gateway/src/load.rs
+++ b/crates/ringbend-gateway/src/load.rs
@@ -1,4 +1,5 @@
-//! What is believed to run on each endpoint: this instance's own requests and what peers tell.
+//! Estimated load of each endpoint, from this instance's own requests and from reports of its
+//! peers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,7 +11,7 @@
 use crate::suspect_work::SuspectWork;
 use crate::waiting_prompt::WaitingPrompt;
 
-/// Names one request's work over all instances.
+/// Identifies the work of one request across all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkId {
     /// The incarnation of the instance that placed it.
@@ -19,30 +20,31 @@
     pub sequence: u64,
 }
 
-/// The work that one request puts on endpoints.
+/// The load that one request puts on endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Work {
-    /// Reads the prompt, or its part of it, and writes the answer.
+    /// Reads the prompt, or its part of it, and decodes the response.
     pub lead: EndpointId,
     /// Read a part of the prompt each.
     pub helpers: SmallVec<[EndpointId; 4]>,
     /// How long each of them reads.
     pub part: Duration,
-    /// Memory that it takes on the lead, in tokens.
+    /// Memory used on the lead, in tokens.
     pub memory_tokens: u64,
-    /// Memory that is held for it on helpers.
+    /// Memory reserved for it on helpers.
     pub held: SmallVec<[HelperMemory; 2]>,
-    /// The longest pause between events that its caller takes for on time.
+    /// The longest gap between events that its caller accepts as on time.
     pub gap: Duration,
     /// When its first event is due.
     pub first_by: Timestamp,
-    /// What is lost if it is late, against a request of the usual small size.
+    /// The loss if it is late, relative to a request of the usual small size.
     pub stake: f64,
-    /// When it must have ended; forgotten then if nobody tells of its end.
+    /// Its deadline. The work is dropped then if no message reports its end.
     pub until: Timestamp,
-    /// Whether its prompt is long: it waited for its turn and is kept off quiet engines.
+    /// Whether its prompt is long: it waited for its turn and is kept off engines reserved for
+    /// short prompts.
     pub long: bool,
-    /// The request, if it is suspected of ending endpoints.
+    /// The fingerprint of the request, if it is suspected of ending endpoints.
     pub suspect: Option<Fingerprint>,
 }
 
@@ -51,12 +53,12 @@
 pub struct HelperMemory {
     /// The helper.
     pub endpoint: EndpointId,
-    /// How much, in tokens.
+    /// The amount in tokens.
     pub tokens: u64,
 }
 
 impl Work {
-    /// How many engines read the prompt.
+    /// The number of engines that read the prompt.
     fn part_count(&self) -> f64 {
         (self.helpers.len() + 1) as f64
     }
@@ -66,21 +68,21 @@
     }
 }
 
-/// A request that writes on an endpoint, or will once its prompt is read.
+/// A request that decodes on an endpoint, or will do so once its prompt is read.
 #[derive(Debug, Clone, Copy)]
 pub struct DecodeTask {
     id: WorkId,
-    /// Whether its first event has come.
+    /// Whether its first event has arrived.
     pub writing: bool,
-    /// The longest pause that its caller takes for on time.
+    /// The longest gap that its caller accepts as on time.
     pub gap: Duration,
     /// When its first event is due.
     pub first_by: Timestamp,
-    /// What is lost if it is late, or later still.
+    /// The loss if it is late, or becomes later still.
     pub stake: f64,
     /// Whether its prompt is long.
     pub long: bool,
-    /// Whether it is expected to be late already.
+    /// Whether it is already expected to be late.
     late: bool,
 }
 
@@ -91,159 +93,161 @@
     }
 }
 
-/// A prompt, or a part of one, that waits to be read or is being read.
+/// A prompt, or a part of one, that is queued or being read.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillTask {
     id: WorkId,
-    /// How long it takes to read what is left.
+    /// The time needed to read the rest.
     pub left: Duration,
-    /// When its request's first event is due.
+    /// When the first event of its request is due.
     pub first_by: Timestamp,
-    /// What is lost if it is late, shared out among the parts of the prompt.
+    /// The loss if it is late, divided among the parts of the prompt.
     pub stake: f64,
 }
 
-/// What is believed of one endpoint.
+/// The estimated load of one endpoint.
 ///
 /// Engines read parts of split prompts first, the newest of them before all others, and whole
-/// prompts afterwards in the order in which they came. Runs with few engines showed this.
+/// prompts afterwards in order of arrival. This was observed in runs with few engines.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointLoad {
     /// Parts of split prompts, the oldest first.
     parts: Vec<PrefillTask>,
     /// Whole prompts, the oldest first.
-    wholes: Vec<PrefillTask>,
-    /// Up to when reading has been taken off.
+    whole_prompts: Vec<PrefillTask>,
+    /// The time up to which completed prefill has been subtracted.
     advanced: Timestamp,
-    /// The longest part that it was lately given, and when.
+    /// The longest part it was recently given, and when.
     part: (Duration, Timestamp),
-    writers: SmallVec<[DecodeTask; 8]>,
+    decode_tasks: SmallVec<[DecodeTask; 8]>,
     memory_tokens: u64,
     pace: Pace,
-    /// Up to when its pace is believed, if it is slow.
+    /// Until when its pace is valid, if it is slow.
     pace_until: Timestamp,
 }
 
-/// What a late request still has to lose, as a share of its stake: its caller may leave.
+/// The share of its stake that a late request still has to lose: its caller may disconnect.
 pub(crate) const LATE_STAKE: f64 = 0.3;
 
-/// A pass that reads nothing takes about this long on the engines that were measured.
-const SHORT_PASS: Duration = Duration::from_millis(45);
+/// Approximate duration of a pass without prefill on the engines that were measured.
+const DECODE_PASS: Duration = Duration::from_millis(45);
 
-/// What an engine reads for so little longer is read before any part that it is given now: two passes,
-/// one of which cannot be interrupted.
-const NEARLY_READ: Duration = Duration::from_millis(100);
+/// Prefill with at most this much time left completes before any part that is placed now: two
+/// passes, one of which cannot be interrupted.
+const NEARLY_DONE: Duration = Duration::from_millis(100);
 
-/// How fast the memory of a long part fades: half of it after this time.
+/// Half-life of the weight of the longest recent part.
 const PART_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// The share of its time that an engine reads while it has something to read and writes as well.
-const READ_SHARE: f64 = 0.85;
+/// The share of its time that an engine spends on prefill while it decodes as well.
+const PREFILL_SHARE: f64 = 0.85;
 
 impl EndpointLoad {
-    /// How long it still reads.
+    /// The time needed to read everything that is queued.
     pub fn backlog(&self) -> Duration {
-        self.parts.iter().chain(&self.wholes).map(|reader| reader.left).sum()
+        self.parts.iter().chain(&self.whole_prompts).map(|prefill| prefill.left).sum()
     }
 
-    /// How long it still reads parts of split prompts, which go before whole ones.
+    /// The time needed to read the queued parts of split prompts, which are read before whole ones.
     pub fn parts_backlog(&self) -> Duration {
-        self.parts.iter().map(|reader| reader.left).sum()
+        self.parts.iter().map(|prefill| prefill.left).sum()
     }
 
-    /// What waits to be read, in the order in which it will be.
+    /// The queued prefill, in the order in which it will be read.
     pub fn prefills(&self) -> impl Iterator<Item = &PrefillTask> {
-        self.parts.iter().rev().chain(&self.wholes)
+        self.parts.iter().rev().chain(&self.whole_prompts)
     }
 
-    /// The requests that write on it or will.
+    /// The requests that decode on it or will do so.
     pub fn decodes(&self) -> &[DecodeTask] {
-        &self.writers
+        &self.decode_tasks
     }
 
-    /// Those whose next event waits for nothing but a pass: their prompts have been read, or will be
-    /// within the next passes, though word of their first event may not have come.
-    pub(crate) fn about_to_write(&self) -> impl Iterator<Item = &DecodeTask> {
-        let is_read = |writer: &DecodeTask| {
-            let left = self.prefills().find(|reader| reader.id == writer.id).map(|r| r.left);
-            left.is_none_or(|left| left <= NEARLY_READ)
+    /// The requests whose next event only waits for a pass: their prompts have been read or will be
+    /// within the next passes, even if the message about their first event has not arrived.
+    pub(crate) fn about_to_decode(&self) -> impl Iterator<Item = &DecodeTask> {
+        let is_prefilled = |task: &DecodeTask| {
+            let left =
+                self.prefills().find(|prefill| prefill.id == task.id).map(|prefill| prefill.left);
+            left.is_none_or(|left| left <= NEARLY_DONE)
         };
-        self.writers.iter().filter(move |writer| writer.writing || is_read(writer))
+        self.decode_tasks.iter().filter(move |task| task.writing || is_prefilled(task))
     }
 
-    /// How many of them have short prompts.
-    pub fn quiet(&self) -> usize {
-        self.writers.iter().filter(|writer| !writer.long).count()
+    /// The number of requests with short prompts.
+    pub fn short_prompts(&self) -> usize {
+        self.decode_tasks.iter().filter(|task| !task.long).count()
     }
 
-    /// Whether nothing is known of it that an engine without work would not have.
+    /// Whether its load equals that of an unused engine.
     fn is_idle(&self, now: Timestamp) -> bool {
         let is_slow = self.pace.is_slow() && now < self.pace_until;
-        self.writers.is_empty() && self.backlog().is_zero() && !is_slow
+        self.decode_tasks.is_empty() && self.backlog().is_zero() && !is_slow
     }
 
-    /// Memory taken, in tokens.
+    /// Memory used, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.memory_tokens
     }
 
-    /// The longest part that it was lately given, fading with time: a guess at what is to come.
+    /// The longest part it was recently given, decaying over time: an estimate of the parts to
+    /// come.
     pub fn usual_part(&self, now: Timestamp) -> Duration {
         let (part, at) = self.part;
         let halvings = now.since(at).as_secs_f64() / PART_HALF_LIFE.as_secs_f64();
         part.mul_f64(0.5f64.powf(halvings))
     }
 
-    /// How much slower than configured it is. What waits there takes that many times as long.
+    /// The multiple of the configured time that its work takes, queued prefill included.
     pub fn pace(&self) -> Pace {
         self.pace
     }
 
-    /// Takes off what has been read until `now`.
+    /// Subtracts what has been read until `now`.
     fn advance(&mut self, now: Timestamp) {
-        let share = if self.writers.is_empty() { 1.0 } else { READ_SHARE };
+        let share = if self.decode_tasks.is_empty() { 1.0 } else { PREFILL_SHARE };
         let mut time = now.since(self.advanced).mul_f64(share / self.pace.factor());
         if self.pace_until <= now {
             self.pace = Pace::USUAL;
         }
         self.advanced = now;
-        for reader in self.parts.iter_mut().rev().chain(&mut self.wholes) {
-            let read = reader.left.min(time);
-            reader.left -= read;
+        for prefill in self.parts.iter_mut().rev().chain(&mut self.whole_prompts) {
+            let read = prefill.left.min(time);
+            prefill.left -= read;
             time -= read;
         }
-        self.parts.retain(|reader| !reader.left.is_zero());
-        self.wholes.retain(|reader| !reader.left.is_zero());
+        self.parts.retain(|prefill| !prefill.left.is_zero());
+        self.whole_prompts.retain(|prefill| !prefill.left.is_zero());
     }
 
-    fn add(&mut self, now: Timestamp, reader: PrefillTask, is_part: bool) {
-        if self.usual_part(now) < reader.left {
-            self.part = (reader.left, now);
+    fn add(&mut self, now: Timestamp, prefill: PrefillTask, is_part: bool) {
+        if self.usual_part(now) < prefill.left {
+            self.part = (prefill.left, now);
         }
-        let readers = if is_part { &mut self.parts } else { &mut self.wholes };
-        readers.push(reader);
+        let queue = if is_part { &mut self.parts } else { &mut self.whole_prompts };
+        queue.push(prefill);
     }
 
-    fn remove_reader(&mut self, id: WorkId) {
-        self.parts.retain(|reader| reader.id != id);
-        self.wholes.retain(|reader| reader.id != id);
+    fn remove_prefill(&mut self, id: WorkId) {
+        self.parts.retain(|prefill| prefill.id != id);
+        self.whole_prompts.retain(|prefill| prefill.id != id);
     }
 
-    /// Notes which requests are late by what waits to be read: they have less to lose, so further
-    /// long prompts had better go where they are.
-    fn spoil(&mut self, now: Timestamp) {
-        let pass = self.backlog() + SHORT_PASS;
-        for writer in &mut self.writers {
-            if !writer.late && pass > writer.limit(now) {
-                writer.late = true;
-                writer.stake *= LATE_STAKE;
+    /// Marks requests that the queued prefill makes late. They have less to lose, so further long
+    /// prompts are better placed with them.
+    fn mark_late(&mut self, now: Timestamp) {
+        let pass = self.backlog() + DECODE_PASS;
+        for task in &mut self.decode_tasks {
+            if !task.late && pass > task.limit(now) {
+                task.late = true;
+                task.stake *= LATE_STAKE;
             }
         }
     }
 }
 
 #[derive(Debug, Clone)]
-struct Open {
+struct OpenWork {
     work: Work,
     writing: bool,
     since: Timestamp,
@@ -252,27 +256,28 @@
 /// The load of all endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct LoadTracker {
-    open: HashMap<WorkId, Open>,
+    open: HashMap<WorkId, OpenWork>,
     suspects: SuspectWork,
     waiting: BTreeMap<WorkId, WaitingPrompt>,
     endpoints: BTreeMap<EndpointId, EndpointLoad>,
     swept_at: Timestamp,
-    /// What is told of an endpoint that nothing runs on.
+    /// The load returned for an endpoint without work.
     idle: EndpointLoad,
 }
 
-/// How long an engine is taken for slow after its last word. It is asked again while it is, so this
-/// only ends what is believed where that was lost.
-const PACE_TIME: Duration = Duration::from_millis(3_000);
+/// How long an engine is considered slow after its last report. It is queried again while it is
+/// slow, so this only takes effect if that state was lost.
+const PACE_TTL: Duration = Duration::from_millis(3_000);
 
-/// How long what an instance tells of its work may have been on its way when more of it was placed.
+/// The age below which placed work may be missing from its instance's list of open work, because
+/// the list was sent before the work was placed.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// How often work that outlived its deadline is looked for.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// The interval between sweeps for work that outlived its deadline.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl LoadTracker {
-    /// Takes off what endpoints have read until `now`.
+    /// Subtracts what endpoints have read until `now`.
     pub fn advance(&mut self, now: Timestamp) {
         self.endpoints.values_mut().for_each(|load| load.advance(now));
     }
@@ -282,32 +287,32 @@
         self.endpoints.get(id).unwrap_or(&self.idle)
     }
 
-    /// Notes how much slower than configured an engine is.
+    /// Records how much slower than configured an engine is.
     pub fn set_pace(&mut self, now: Timestamp, engine: &EndpointId, pace: Pace) {
         if !pace.is_slow() && !self.endpoints.contains_key(engine) {
             return;
         }
         let load = self.endpoints.entry(engine.clone()).or_default();
         load.advance(now);
-        (load.pace, load.pace_until) = (pace, now + PACE_TIME);
+        (load.pace, load.pace_until) = (pace, now + PACE_TTL);
     }
 
-    /// Notes work that was placed.
+    /// Records placed work.
     pub fn place(&mut self, now: Timestamp, id: WorkId, work: Work) {
         self.sweep(now);
         self.end(now, id);
         let Work { part: left, first_by, stake, .. } = work;
         let is_part = !work.helpers.is_empty();
-        let reader = PrefillTask { id, left, first_by, stake: stake / work.part_count().sqrt() };
+        let prefill = PrefillTask { id, left, first_by, stake: stake / work.part_count().sqrt() };
         for endpoint in work.endpoints() {
             let load = self.endpoints.entry(endpoint.clone()).or_default();
             load.advance(now);
-            load.add(now, reader, is_part);
-            load.spoil(now);
+            load.add(now, prefill, is_part);
+            load.mark_late(now);
         }
         let lead = self.endpoints.entry(work.lead.clone()).or_default();
         let Work { gap, first_by, stake, long, .. } = work;
-        lead.writers.push(DecodeTask {
+        lead.decode_tasks.push(DecodeTask {
             id,
             writing: false,
             gap,
@@ -324,11 +329,11 @@
         if work.suspect.is_some() {
             self.suspects.begin(id);
         }
-        self.open.insert(id, Open { work, writing: false, since: now });
+        self.open.insert(id, OpenWork { work, writing: false, since: now });
     }
 
-    /// Notes work that another instance tells of. What is known already stays as it is, so that
-    /// hearing of it again does not begin its reading anew.
+    /// Records work reported by another instance. Known work is left unchanged, so that a repeated
+    /// report does not restart its prefill.
     pub fn merge_placed(&mut self, now: Timestamp, id: WorkId, work: Work, writing: bool) {
         let known = self.open.get(&id).map(|open| &open.work);
         if known.is_none_or(|known| known.lead != work.lead || known.helpers != work.helpers) {
@@ -341,28 +346,28 @@
         }
     }
 
-    /// Notes that a request's first event has come, so its prompt has been read.
+    /// Records that the first event of a request has arrived, so its prompt has been read.
     pub fn first_event(&mut self, id: WorkId) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.writing = true;
         for endpoint in open.work.endpoints() {
             if let Some(load) = self.endpoints.get_mut(endpoint) {
-                load.remove_reader(id);
+                load.remove_prefill(id);
             }
         }
         let Some(load) = self.endpoints.get_mut(&open.work.lead) else { return };
-        if let Some(writer) = load.writers.iter_mut().find(|w| w.id == id) {
-            writer.writing = true;
+        if let Some(task) = load.decode_tasks.iter_mut().find(|w| w.id == id) {
+            task.writing = true;
         }
     }
 
-    /// Notes that a request has ended, however it did.
+    /// Records that a request has ended, whatever the outcome.
     pub fn end(&mut self, now: Timestamp, id: WorkId) {
         self.waiting.remove(&id);
-        let Some(Open { work, writing, .. }) = self.open.remove(&id) else { return };
+        let Some(OpenWork { work, writing, .. }) = self.open.remove(&id) else { return };
         self.suspects.end(now, id, work.suspect, work.endpoints());
         if let Some(load) = self.endpoints.get_mut(&work.lead) {
-            load.writers.retain(|writer| writer.id != id);
+            load.decode_tasks.retain(|task| task.id != id);
             load.memory_tokens = load.memory_tokens.saturating_sub(work.memory_tokens);
         }
         for held in &work.held {
@@ -373,16 +378,16 @@
         if writing {
             return;
         }
-        // What it had not read yet will not be read.
+        // The rest of its prompt will not be read.
         for endpoint in work.endpoints() {
             if let Some(load) = self.endpoints.get_mut(endpoint) {
                 load.advance(now);
-                load.remove_reader(id);
+                load.remove_prefill(id);
             }
         }
     }
 
-    /// Notes that open work belongs to a suspect.
+    /// Marks open work as belonging to a suspect.
     pub fn mark_suspect(&mut self, id: WorkId, fingerprint: Fingerprint) {
         if let Some(open) = self.open.get_mut(&id) {
             open.work.suspect = Some(fingerprint);
@@ -390,13 +395,13 @@
         }
     }
 
-    /// When the latest run of a suspect that is open on any endpoint was placed.
+    /// When the latest open run of a suspect was placed on any endpoint.
     pub fn last_placed(&self, suspect: Fingerprint) -> Option<Timestamp> {
         let open = self.suspects.open().filter_map(|id| self.open.get(id));
         open.filter(|open| open.work.suspect == Some(suspect)).map(|open| open.since).max()
     }
 
-    /// The suspects that are open on this endpoint, or were until a moment ago.
+    /// The suspects that run on this endpoint or did so until a moment ago.
     pub fn suspects_on<'a>(
         &'a self,
         now: Timestamp,
@@ -405,15 +410,15 @@
         let runs_there = move |work: &Work| work.endpoints().any(|on| on == endpoint);
         let open =
             self.suspect_work().filter_map(move |work| work.suspect.filter(|_| runs_there(work)));
-        open.chain(self.suspects.left(now, endpoint))
+        open.chain(self.suspects.recent(now, endpoint))
     }
 
     fn suspect_work(&self) -> impl Iterator<Item = &Work> {
         self.suspects.open().filter_map(|id| self.open.get(id)).map(|open| &open.work)
     }
 
-    /// Forgets the work on an endpoint whose process has ended: what it led is over, and what it was to
-    /// read of others will not be read.
+    /// Drops the work on an endpoint whose process has ended: requests that it led are over, and
+    /// its parts of other prompts will not be read.
     pub fn remove_endpoint(&mut self, now: Timestamp, endpoint: &EndpointId) {
         let led = self.open.iter().filter(|(_, open)| open.work.lead == *endpoint);
         for id in led.map(|(id, _)| *id).collect::<Vec<_>>() {
@@ -422,18 +427,19 @@
         self.endpoints.remove(endpoint);
     }
 
-    /// Forgets all that one instance placed, as it has ended. Returns whether there was any.
+    /// Drops everything that an instance placed, because it has ended. Returns whether there was
+    /// any.
     pub fn forget_instance(&mut self, now: Timestamp, instance: u64) -> bool {
         self.end_where(now, |id| id.instance == instance)
     }
 
-    /// Forgets the work of all instances but one.
+    /// Drops the work of all instances but one.
     pub fn keep_instance(&mut self, now: Timestamp, instance: u64) {
         self.end_where(now, |id| id.instance != instance);
     }
 
-    /// What is believed of an instance's work though it is not among the `sequences` that the
-    /// instance tells of. What was placed within `SETTLE_TIME` may have crossed that word.
+    /// Recorded work of an instance that is missing from the `sequences` of its list of open work.
+    /// Work placed within `SETTLE_TIME` is left out, because the list may have been sent before.
     pub fn unlisted(&self, now: Timestamp, instance: u64, sequences: &[u64]) -> Vec<WorkId> {
         let is_settled = |since: Timestamp| now.since(since) >= SETTLE_TIME;
         let placed = self.open.iter().filter(|(_, open)| is_settled(open.since));
@@ -444,7 +450,7 @@
             .collect()
     }
 
-    /// Ends all work that is meant. Returns whether there was any.
+    /// Ends all work that matches. Returns whether there was any.
     fn end_where(&mut self, now: Timestamp, is_meant: impl Fn(WorkId) -> bool) -> bool {
         let waiting = self.waiting.len();
         self.waiting.retain(|id, _| !is_meant(*id));
@@ -453,38 +459,38 @@
         !ids.is_empty() || self.waiting.len() < waiting
     }
 
-    /// Notes a long prompt that waits for its turn.
+    /// Records a long prompt that waits for its turn.
     pub fn wait(&mut self, id: WorkId, waiting: WaitingPrompt) {
         self.waiting.insert(id, waiting);
     }
 
-    /// The long prompts that wait for their turn at any instance.
+    /// The long prompts that wait for their turn on any instance.
     pub fn waiting(&self) -> impl Iterator<Item = (WorkId, &WaitingPrompt)> {
         self.waiting.iter().map(|(id, waiting)| (*id, waiting))
     }
 
-    /// The names of all open work.
+    /// The ids of all open work.
     pub fn open_work(&self) -> impl Iterator<Item = WorkId> + '_ {
         self.open.keys().copied()
     }
 
-    /// Open work by name, with whether its prompt has been read.
+    /// Open work by id, and whether its prompt has been read.
     pub fn work(&self, id: WorkId) -> Option<(&Work, bool)> {
         self.open.get(&id).map(|open| (&open.work, open.writing))
     }
 
-    /// The prompt that waits under this name.
+    /// The waiting prompt with this id.
     pub fn waiting_prompt(&self, id: WorkId) -> Option<&WaitingPrompt> {
         self.waiting.get(&id)
     }
 
-    /// How many requests are open.
+    /// The number of open requests.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
     fn sweep(&mut self, now: Timestamp) {
-        if now.since(self.swept_at) < SWEEP_EVERY {
+        if now.since(self.swept_at) < SWEEP_INTERVAL {
             return;
         }
         self.swept_at = now;
--- a/crates/ringbend-gateway/src/outbox.rs
+++ b/crates/ringbend-gateway/src/outbox.rs
@@ -1,4 +1,4 @@
-//! What is still to be told to other instances.
+//! Updates to be sent to other instances.
 
 use ringbend_types::{EndpointId, EndpointStart, Fingerprint};
 
@@ -6,40 +6,40 @@
 use crate::load::WorkId;
 use crate::pace::Pace;
 
-/// What is still to be told to other instances. Work is this instance's own, or that of instances
-/// which it schedules for.
+/// Updates to be sent to other instances. The work is this instance's own, or that of instances for
+/// which it schedules.
 #[derive(Debug, Clone, Default)]
 pub struct Outbox {
-    /// Long prompts that have begun to wait.
+    /// Long prompts that have started to wait.
     pub waiting: Vec<WorkId>,
-    /// Work that was placed.
+    /// Placed work.
     pub placed: Vec<WorkId>,
-    /// Work whose first event has come.
+    /// Work whose first event has arrived.
     pub writing: Vec<WorkId>,
     /// Work that has ended.
     pub ended: Vec<WorkId>,
-    /// Endpoints that an engine named as unable to help it.
+    /// Endpoints that an engine reported as unable to help it.
     pub unfit: Vec<EndpointId>,
-    /// Endpoints that have started again, by their own word.
+    /// Endpoints that reported a restart, with their new start time.
     pub restarts: Vec<(EndpointId, EndpointStart)>,
-    /// Engines that were slower than expected, for whoever asks them.
+    /// Engines that were slower than expected, for the scheduler that queries them.
     pub slow_engines: Vec<EndpointId>,
     /// How much slower than configured engines are.
     pub paces: Vec<(EndpointId, Pace)>,
-    /// Starts of instances that have ended, whose work has ended with them.
+    /// Incarnations of instances that have ended, and whose work has ended with them.
     pub ended_instances: Vec<u64>,
-    /// How this instance's requests went at endpoints; for the one that schedules for it.
+    /// Results of this instance's requests at endpoints, for the scheduler that places them.
     pub results: Vec<(EndpointId, HealthEvent)>,
-    /// Requests that are suspected of ending endpoints, or no more, for all instances.
+    /// Requests that became or ceased to be suspected of ending endpoints, for all instances.
     pub suspicions: Vec<Fingerprint>,
-    /// The same, for those of this data centre that do not schedule.
+    /// The same, for the instances of this data centre that do not schedule.
     pub local_suspicions: Vec<Fingerprint>,
-    /// Endpoints whose limit is another now, for all instances.
+    /// Endpoints whose limit has changed, for all instances.
     pub limits: Vec<EndpointId>,
-    /// The same, for those of this data centre that do not schedule.
+    /// The same, for the instances of this data centre that do not schedule.
     pub local_limits: Vec<EndpointId>,
-    /// Endpoints that are now known to be draining, for all instances.
+    /// Endpoints newly known to be draining, for all instances.
     pub drains: Vec<EndpointId>,
-    /// The same, for those of this data centre that do not schedule.
+    /// The same, for the instances of this data centre that do not schedule.
     pub local_drains: Vec<EndpointId>,
 }
--- a/crates/ringbend-gateway/src/pace.rs
+++ b/crates/ringbend-gateway/src/pace.rs
@@ -1,9 +1,10 @@
-//! How fast engines are against what their configuration tells, and when one is asked.
+//! The measured speed of engines relative to their configuration, and when to query it.
 //!
-//! Configured speeds hold until an engine turns slow, for seconds or for good. Work on it then takes a
-//! multiple of what is expected, and more is sent there, since it looks no busier than others. Whoever
-//! relays a stream sees it first: an event that is long overdue. That may as well be a long prompt that
-//! is read on the engine, so it is a reason to ask the engine itself and no more.
+//! Configured speeds hold until an engine becomes slow, for seconds or permanently. Its work then
+//! takes a multiple of the expected time, and it receives more, since it looks no busier than
+//! others. The instance that relays a stream notices first: an event is long overdue. The cause may
+//! also be a long prompt that the engine is reading, so an overdue event only triggers a query of
+//! the engine.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,7 +12,7 @@
 
 use ringbend_types::{EndpointId, Timestamp};
 
-/// The time that an engine's work takes, as a multiple of what its configuration tells.
+/// The time that an engine's work takes, as a multiple of the configured time.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Pace(f64);
 
@@ -19,35 +20,35 @@
     /// As fast as configured.
     pub const USUAL: Self = Self(1.0);
 
-    /// The slowest that is told apart. An engine that is slower gets nothing either way.
+    /// The upper bound of the factor. A slower engine gets no work either way.
     const SLOWEST: f64 = 50.0;
 
-    /// From this on an engine counts as slow; below, what is expected of it is off by less than two
-    /// passes.
+    /// The factor from which an engine counts as slow. Below it, expectations are off by less than
+    /// two passes.
     const SLOW: f64 = 1.25;
 
-    /// The pace that takes `factor` times as long. An engine that is faster than configured, and a
-    /// number that makes no sense, count as usual.
+    /// Creates the pace that takes `factor` times as long. Factors below one and non-finite numbers
+    /// count as the usual pace.
     pub fn new(factor: f64) -> Self {
         if factor.is_finite() { Self(factor.clamp(1.0, Self::SLOWEST)) } else { Self::USUAL }
     }
 
-    /// The multiple.
+    /// The factor.
     pub fn factor(self) -> f64 {
         self.0
     }
 
-    /// Whether less should be expected of the engine than of others.
+    /// Whether the engine counts as slow.
     pub fn is_slow(self) -> bool {
         self.0 >= Self::SLOW
     }
 
-    /// In percent, for messages.
+    /// The factor in percent, as sent in messages.
     pub fn percent(self) -> u32 {
         (self.0 * 100.0).round() as u32
     }
 
-    /// From percent.
+    /// Creates a pace from a factor in percent.
     pub fn from_percent(percent: u32) -> Self {
         Self::new(f64::from(percent) / 100.0)
     }
@@ -65,36 +66,39 @@
     }
 }
 
-/// How long an engine is not asked again. Its answer shows it as it was some hundred milliseconds ago,
-/// and each question costs a connection.
-const ASK_AGAIN: Duration = Duration::from_millis(700);
+/// The minimum interval between queries of an engine. Its answer shows its state of a few hundred
+/// milliseconds ago, and each query costs a connection.
+const QUERY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// The same for an engine that names a limit: it may count questions as requests.
+/// The minimum interval between queries of an engine with a rate limit, which may count queries as
+/// requests.
 pub const LIMITED_QUERY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How much later than expected a first event is a reason to ask: more than the pass that most first
-/// events wait for.
-const OVERDUE: Duration = Duration::from_millis(120);
+/// The minimum delay of a first event that triggers a query: more than the pass for which most
+/// first events wait.
+const OVERDUE_MARGIN: Duration = Duration::from_millis(120);
 
-/// How many times the expected time is a reason to ask.
+/// The multiple of the expected time that triggers a query.
 const OVERDUE_FACTOR: f64 = 2.0;
 
-/// When an event that was expected after `expected` is a reason to ask its engine for its pace.
+/// The time after which an event expected after `expected` is overdue, so that its engine is
+/// queried.
 pub fn overdue_after(expected: Duration) -> Duration {
-    expected.mul_f64(OVERDUE_FACTOR).max(expected + OVERDUE)
+    expected.mul_f64(OVERDUE_FACTOR).max(expected + OVERDUE_MARGIN)
 }
 
-/// Which engines were asked for their pace, and when.
+/// The engines that were queried recently, and when.
 #[derive(Debug, Clone, Default)]
 pub struct PaceQueries {
     asked: BTreeMap<EndpointId, Timestamp>,
 }
 
 impl PaceQueries {
-    /// Whether the engine should be asked now; notes that it is. One that names a limit is asked more seldom.
+    /// Whether to query the engine now; records the query if so. An engine with a rate limit is
+    /// queried less often.
     pub fn begin(&mut self, now: Timestamp, engine: &EndpointId, is_limited: bool) -> bool {
         self.asked.retain(|_, at| now.since(*at) < LIMITED_QUERY_INTERVAL);
-        let again = if is_limited { LIMITED_QUERY_INTERVAL } else { ASK_AGAIN };
+        let again = if is_limited { LIMITED_QUERY_INTERVAL } else { QUERY_INTERVAL };
         if self.asked.get(engine).is_some_and(|at| now.since(*at) < again) {
             return false;
         }
--- a/crates/ringbend-gateway/src/peers.rs
+++ b/crates/ringbend-gateway/src/peers.rs
@@ -1,7 +1,7 @@
-//! Which other instances are there, and which of them schedule.
+//! The other instances and their roles.
 //!
-//! Schedulers tell each other what runs where, so that they do not choose the same idle engine. What
-//! they tell is a hint: nothing that must hold rests on it.
+//! Schedulers tell each other what runs where, so that they do not choose the same idle engine.
+//! These reports are hints: no guarantee depends on them.
 
 mod roles;
 
@@ -16,47 +16,48 @@
 use crate::schedulers::{InstanceRank, Role};
 use crate::snapshot::ConfigVersion;
 
-/// How long a silent peer still counts as there. A datagram goes out every `HEARTBEAT_INTERVAL` at least, so
-/// three in a row were lost or not sent.
+/// How long a silent peer still counts as alive. A datagram is sent at least every
+/// `HEARTBEAT_INTERVAL`, so three in a row were lost or not sent.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// The longest time between two digests to a peer.
+/// The maximum interval between two digests to a peer.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a silent peer is still told things, in case only its own digests were lost.
-const FORGET: Duration = Duration::from_secs(30);
+/// How long digests are still sent to a silent peer, in case only its own digests were lost.
+const RETENTION: Duration = Duration::from_secs(30);
 
-/// The most peers that are kept; above the fleet's size, so that only forged addresses meet it.
+/// The maximum number of peers; larger than the fleet, so that only forged addresses reach it.
 const MAX_PEERS: usize = 2_000;
 
-/// How long a scheduler that did not answer in time is passed over: long enough for one that is
-/// short of processor time to catch up, short against the time in which others find its work.
-const DOUBT_TIME: Duration = Duration::from_secs(1);
+/// How long a scheduler that did not answer in time is skipped: long enough for one that lacks
+/// processor time to catch up, and short compared with the time in which others detect its loss.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(1);
 
-/// How long an instance that starts looks for others before it schedules, if rows of others do not
-/// tell it sooner what to do: some greetings take a trip each, and a read of the store some more.
-const START_TIME: Duration = Duration::from_millis(250);
+/// How long a starting instance looks for others before it schedules, unless the rows of other
+/// instances settle its role sooner: a few greetings take a round trip each, and a read of the
+/// store somewhat longer.
+const DISCOVERY_TIME: Duration = Duration::from_millis(250);
 
-/// How long a greeting may go without an answer before the next.
-const ANSWER_TIME: Duration = Duration::from_millis(40);
+/// How long to wait for the answer to a greeting before sending the next one.
+const GREETING_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// How far a peer's copies of the watched tables go, as it told last.
+/// How current a peer's copies of the watched tables are, by its last digest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CopyVersions {
-    /// The configuration in force there.
+    /// The version of the configuration in force there.
     pub config: ConfigVersion,
-    /// How far it knows the changes of the endpoints' table.
+    /// The cursor in the changes of the endpoint table.
     pub endpoints: u64,
 }
 
-/// What an instance tells of its part among the others.
+/// The role and instance counts that a peer reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// What it does for the others of its data centre.
+    /// Its role in its data centre.
     pub role: Role,
-    /// How many instances it knows in its data centre, itself included.
+    /// The number of instances it knows in its data centre, including itself.
     pub instances: usize,
-    /// How many it knows in all data centres.
+    /// The number of instances it knows in all data centres.
     pub fleet: usize,
 }
 
@@ -65,11 +66,11 @@
     heard: Option<(Timestamp, u64)>,
     since: Timestamp,
     greeted_at: Option<Timestamp>,
-    holds: CopyVersions,
+    copies: CopyVersions,
     data_centre: Option<DataCentre>,
     capacity: u32,
-    part: PeerStatus,
-    doubted_at: Option<Timestamp>,
+    status: PeerStatus,
+    unresponsive_at: Option<Timestamp>,
 }
 
 impl Peer {
@@ -78,11 +79,11 @@
             heard: None,
             since: now,
             greeted_at: None,
-            holds: CopyVersions::default(),
+            copies: CopyVersions::default(),
             data_centre: None,
             capacity: 0,
-            part: PeerStatus::default(),
-            doubted_at: None,
+            status: PeerStatus::default(),
+            unresponsive_at: None,
         }
     }
 
@@ -95,71 +96,72 @@
     }
 
     fn schedules(&self) -> bool {
-        self.part.role == Role::Scheduler
+        self.status.role == Role::Scheduler
     }
 
     fn runs_in(&self, data_centre: &DataCentre) -> bool {
         self.data_centre.as_ref() == Some(data_centre)
     }
 
-    fn is_doubted(&self, now: Timestamp) -> bool {
-        let Some(doubted_at) = self.doubted_at else { return false };
-        let heard_since = self.heard.is_some_and(|(at, _)| at > doubted_at);
-        !heard_since || now.since(doubted_at) < DOUBT_TIME
+    fn is_unresponsive(&self, now: Timestamp) -> bool {
+        let Some(unresponsive_at) = self.unresponsive_at else { return false };
+        let heard_since = self.heard.is_some_and(|(at, _)| at > unresponsive_at);
+        !heard_since || now.since(unresponsive_at) < UNRESPONSIVE_TIME
     }
 }
 
-/// What a received digest means for the book.
+/// The effect of a received digest on the known peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerObservation {
-    /// A peer that was there.
+    /// The peer was already alive.
     Known,
-    /// A peer that was not there or started anew; its earlier work, if any, has ended.
+    /// The peer was not alive or was restarted; the work of its previous incarnation, if any, has
+    /// ended.
     New {
-        /// The start whose work has ended.
+        /// The incarnation whose work has ended.
         replaced: Option<u64>,
     },
 }
 
-/// The other instances, and this one's part among them.
+/// The other instances, and this instance's role among them.
 #[derive(Debug, Clone)]
 pub struct Peers {
     home: DataCentre,
     own: InstanceRank,
     role: Role,
-    /// Until when it looks for others before it takes up scheduling.
-    starts_until: Timestamp,
-    /// When one that schedules at home was last there.
-    served_at: Timestamp,
+    /// Until when it looks for others before it becomes a scheduler.
+    discovery_until: Timestamp,
+    /// When a scheduler of its data centre was last alive.
+    scheduler_seen_at: Timestamp,
     peers: BTreeMap<SocketAddrV4, Peer>,
 }
 
 impl Peers {
-    /// An instance in `home` that starts and knows of no other.
+    /// Creates a starting instance in data centre `home` that knows of no other.
     pub fn new(now: Timestamp, home: DataCentre, own: InstanceRank) -> Self {
         Self {
             home,
             own,
             role: Role::Starting,
-            starts_until: now + START_TIME,
-            served_at: now,
+            discovery_until: now + DISCOVERY_TIME,
+            scheduler_seen_at: now,
             peers: BTreeMap::new(),
         }
     }
 
-    /// Sets where this instance listens, once it does.
+    /// Sets the address of this instance once its socket is bound.
     pub fn set_own_address(&mut self, address: SocketAddrV4) {
         self.own = InstanceRank::new(self.own.capacity(), address);
     }
 
-    /// Notes that an instance is said to be at `address`.
+    /// Adds a peer that is said to listen at `address`.
     pub fn add(&mut self, now: Timestamp, address: SocketAddrV4) {
         if self.peers.len() < MAX_PEERS {
             self.peers.entry(address).or_insert_with(|| Peer::new(now));
         }
     }
 
-    /// Notes a digest from `address`.
+    /// Records a digest from `address`.
     pub fn record_digest(
         &mut self,
         now: Timestamp,
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Notes where the instance at `address` runs, and the processor time that it may use.
+    /// Sets the data centre and the processor time of the instance at `address`.
     pub fn describe(&mut self, address: SocketAddrV4, data_centre: DataCentre, capacity: u32) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.data_centre = Some(data_centre);
@@ -188,103 +190,105 @@
         }
     }
 
-    /// Notes what the instance at `address` tells of its part.
-    pub fn set_status(&mut self, address: SocketAddrV4, part: PeerStatus) {
+    /// Sets the reported status of the instance at `address`.
+    pub fn set_status(&mut self, address: SocketAddrV4, status: PeerStatus) {
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.part = part;
+            peer.status = status;
         }
     }
 
-    /// Notes how far the copies at `address` go.
-    pub fn set_copy_versions(&mut self, address: SocketAddrV4, holds: CopyVersions) {
+    /// Sets the versions of the copies at `address`.
+    pub fn set_copy_versions(&mut self, address: SocketAddrV4, copies: CopyVersions) {
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.holds = holds;
+            peer.copies = copies;
         }
     }
 
-    /// The instances whose copies go as far as is `wanted`: those at home if there are any.
+    /// The instances whose copies satisfy `wanted`: those in this data centre if there are any.
     pub fn holders(
         &self,
         now: Timestamp,
         wanted: impl Fn(CopyVersions) -> bool,
     ) -> Vec<SocketAddrV4> {
-        let holders = || self.there(now).filter(|(_, peer)| wanted(peer.holds));
-        let near = holders().filter(|(_, peer)| peer.runs_in(&self.home));
-        let near: Vec<SocketAddrV4> = near.map(|(address, _)| address).collect();
-        if near.is_empty() { holders().map(|(address, _)| address).collect() } else { near }
+        let holders = || self.alive(now).filter(|(_, peer)| wanted(peer.copies));
+        let local = holders().filter(|(_, peer)| peer.runs_in(&self.home));
+        let local: Vec<SocketAddrV4> = local.map(|(address, _)| address).collect();
+        if local.is_empty() { holders().map(|(address, _)| address).collect() } else { local }
     }
 
-    /// Whether the copy of the endpoints' table at `address` is not known to go as far as `endpoints`.
+    /// Whether the copy of the endpoint table at `address` is not known to be as current as
+    /// `endpoints`.
     pub fn is_behind(&self, address: SocketAddrV4, endpoints: u64) -> bool {
-        self.peers.get(&address).is_none_or(|peer| peer.holds.endpoints < endpoints)
+        self.peers.get(&address).is_none_or(|peer| peer.copies.endpoints < endpoints)
     }
 
-    /// Notes that the instance at `address` stops.
+    /// Removes the instance at `address`, which has announced that it stops.
     pub fn remove(&mut self, address: SocketAddrV4) {
         self.peers.remove(&address);
     }
 
-    /// Whether the instance that is said to be at `address` should be greeted: it is not heard, and
-    /// has had the time to answer an earlier greeting. Notes that it is.
+    /// Whether to greet the instance that is said to be at `address`: it is not alive, and has had
+    /// time to answer an earlier greeting. Records the greeting if so.
     pub fn begin_greeting(&mut self, now: Timestamp, address: SocketAddrV4) -> bool {
         self.add(now, address);
         let Some(peer) = self.peers.get_mut(&address) else { return false };
-        let waits = peer.greeted_at.is_some_and(|at| now.since(at) < ANSWER_TIME);
-        if peer.is_alive(now) || waits {
+        let is_pending = peer.greeted_at.is_some_and(|at| now.since(at) < GREETING_TIMEOUT);
+        if peer.is_alive(now) || is_pending {
             return false;
         }
         peer.greeted_at = Some(now);
         true
     }
 
-    /// Whether the instance at `address` is heard.
+    /// Whether the instance at `address` is alive.
     pub fn is_alive(&self, now: Timestamp, address: SocketAddrV4) -> bool {
         self.peers.get(&address).is_some_and(|peer| peer.is_alive(now))
     }
 
-    /// All addresses that are known.
+    /// All known addresses.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddrV4> + '_ {
         self.peers.keys().copied()
     }
 
-    /// How many instances are there, this one included: those that are heard, and those that
-    /// schedulers tell of.
+    /// The number of instances, including this one: those that are alive, and those that schedulers
+    /// report.
     pub fn instances(&self, now: Timestamp) -> usize {
         let heard = self.count_by_centre(|peer| peer.is_alive(now));
         if self.schedules() {
             return heard;
         }
-        let at_home = self.there(now).filter(|(_, peer)| peer.runs_in(&self.home));
-        let schedulers = at_home.filter(|(_, peer)| peer.schedules());
-        schedulers.map(|(_, peer)| peer.part.fleet).fold(heard, usize::max)
+        let local_peers = self.alive(now).filter(|(_, peer)| peer.runs_in(&self.home));
+        let schedulers = local_peers.filter(|(_, peer)| peer.schedules());
+        schedulers.map(|(_, peer)| peer.status.fleet).fold(heard, usize::max)
     }
 
-    /// How many instances there are, this one included, by the peers that are meant and by what they tell.
-    fn count_by_centre(&self, is_meant: impl Fn(&Peer) -> bool) -> usize {
+    /// The number of instances, including this one, by the matching peers and the counts they
+    /// report.
+    fn count_by_centre(&self, matches: impl Fn(&Peer) -> bool) -> usize {
         let mut counts: BTreeMap<&DataCentre, (usize, usize)> = BTreeMap::new();
         counts.insert(&self.home, (1, 0));
         let mut elsewhere = 0;
-        for peer in self.peers.values().filter(|peer| is_meant(peer)) {
+        for peer in self.peers.values().filter(|peer| matches(peer)) {
             let Some(data_centre) = &peer.data_centre else {
                 elsewhere += 1;
                 continue;
             };
-            let (heard, told) = counts.entry(data_centre).or_default();
+            let (heard, reported) = counts.entry(data_centre).or_default();
             *heard += 1;
             if peer.schedules() {
-                *told = (*told).max(peer.part.instances);
+                *reported = (*reported).max(peer.status.instances);
             }
         }
-        counts.values().map(|(heard, told)| heard.max(told)).sum::<usize>() + elsewhere
+        counts.values().map(|(heard, reported)| heard.max(reported)).sum::<usize>() + elsewhere
     }
 
-    /// How many instances of its data centre this one hears, itself included.
+    /// The number of instances of its data centre that this one receives digests from, plus itself.
     pub fn local_instances(&self, now: Timestamp) -> usize {
-        self.there(now).filter(|(_, peer)| peer.runs_in(&self.home)).count() + 1
+        self.alive(now).filter(|(_, peer)| peer.runs_in(&self.home)).count() + 1
     }
 
-    /// Drops peers that were silent for long. Returns the starts that have just fallen silent, whose
-    /// work is no longer believed in, with their addresses.
+    /// Drops peers that were silent for long. Returns the addresses and incarnations of peers that
+    /// have just fallen silent, and whose work is dropped.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<(SocketAddrV4, u64)> {
         let silent = |(address, peer): (&SocketAddrV4, &Peer)| match peer.heard {
             Some((at, start)) if now.since(at) >= PEER_TIMEOUT => Some((*address, start)),
@@ -293,12 +297,12 @@
         let starts = self.peers.iter().filter_map(silent).collect();
         self.peers.retain(|_, peer| {
             let last = peer.heard.map_or(peer.since, |(at, _)| at);
-            now.since(last) < FORGET
+            now.since(last) < RETENTION
         });
         starts
     }
 
-    fn there(&self, now: Timestamp) -> impl Iterator<Item = (SocketAddrV4, &Peer)> {
+    fn alive(&self, now: Timestamp) -> impl Iterator<Item = (SocketAddrV4, &Peer)> {
         self.peers.iter().filter(move |(_, p)| p.is_alive(now)).map(|(a, peer)| (*a, peer))
     }
 }
--- a/crates/ringbend-gateway/src/peers/roles.rs
+++ b/crates/ringbend-gateway/src/peers/roles.rs
@@ -1,4 +1,4 @@
-//! Who schedules, who plans long prompts, and whom an instance asks.
+//! Role of this instance, and which instance coordinates what.
 
 use std::cmp::Reverse;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,24 +11,25 @@
 use super::{Peer, Peers};
 use crate::schedulers::{InstanceRank, Role, SCHEDULERS_PER_DATA_CENTRE};
 
-/// How long an instance that hears no scheduler any more waits before it becomes one: the last one
-/// may have named others, which are being greeted.
-const UNSERVED_TIME: Duration = Duration::from_millis(300);
+/// How long an instance that hears no scheduler waits before it becomes one: the last scheduler may
+/// have named others, which are being greeted.
+const NO_SCHEDULER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long an instance that counts for all may be silent until another one does: two heartbeats.
-const COUNTER_SILENCE: Duration = Duration::from_millis(2_200);
+/// How long a limit coordinator may be silent before another one takes over: two heartbeats.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(2_200);
 
-/// The instance that places all suspects of a service, or counts for all what its limited endpoints get.
+/// The instance that places all suspects of a service, or that grants the permits of its
+/// rate-limited endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arbiter {
-    /// This one.
+    /// This instance.
     Local,
-    /// The one that listens there.
+    /// The instance at this address.
     Remote(SocketAddrV4),
 }
 
 impl Arbiter {
-    /// Where it listens; none if it is this instance.
+    /// The address of the instance; `None` if it is this one.
     pub fn address(self) -> Option<SocketAddrV4> {
         match self {
             Self::Remote(address) => Some(address),
@@ -43,30 +44,31 @@
         self.role == Role::Scheduler
     }
 
-    /// What this instance does.
+    /// The role of this instance.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Takes up scheduling, as another scheduler asks for it, or as too few are said to be better
-    /// placed.
+    /// Makes this instance a scheduler, because another scheduler asks for it or because too few
+    /// instances rank before it.
     pub fn become_scheduler(&mut self) {
         self.role = Role::Scheduler;
     }
 
-    /// Whether too few of these instances are better placed for this one to leave scheduling to them.
+    /// Whether so few of these instances rank before this one that it has to schedule as well.
     pub fn is_needed_beside(&self, others: impl Iterator<Item = InstanceRank>) -> bool {
         others.filter(|standing| *standing < self.own).count() < SCHEDULERS_PER_DATA_CENTRE
     }
 
-    /// Looks at this instance's role again. True if it has changed.
+    /// Re-evaluates the role of this instance. Returns whether it has changed.
     ///
-    /// One that schedules goes on until enough better placed ones of its data centre do. One that
-    /// starts leaves it to such that schedule or start as well; those will not leave it to this one.
-    /// One that does not schedule begins once it has heard none that does for a moment.
+    /// A scheduler continues until enough instances of its data centre that rank before it
+    /// schedule. A starting instance leaves scheduling to instances before it that schedule or are
+    /// starting; those do not leave it to this one. A member becomes a scheduler after it has heard
+    /// no scheduler for a moment.
     pub fn update_role(&mut self, now: Timestamp) -> bool {
         if self.standings(now, &self.home, Peer::schedules).next().is_some() {
-            self.served_at = now;
+            self.scheduler_seen_at = now;
         }
         let is_needed = |candidate: fn(&Peer) -> bool| {
             self.is_needed_beside(self.standings(now, &self.home, candidate))
@@ -74,59 +76,65 @@
         let role = match self.role {
             Role::Scheduler if is_needed(Peer::schedules) => Role::Scheduler,
             Role::Scheduler => Role::Member,
-            Role::Starting if !is_needed(|peer| peer.part.role != Role::Member) => Role::Member,
-            Role::Starting if now >= self.starts_until => Role::Scheduler,
-            Role::Member if now.since(self.served_at) >= UNSERVED_TIME => Role::Scheduler,
+            Role::Starting if !is_needed(|peer| peer.status.role != Role::Member) => Role::Member,
+            Role::Starting if now >= self.discovery_until => Role::Scheduler,
+            Role::Member if now.since(self.scheduler_seen_at) >= NO_SCHEDULER_TIMEOUT => {
+                Role::Scheduler
+            }
             unchanged => unchanged,
         };
         if role == Role::Member && self.role == Role::Starting {
-            // Those that it leaves scheduling to may still be starting.
-            self.served_at = now;
+            // The instances to which it leaves scheduling may still be starting.
+            self.scheduler_seen_at = now;
         }
         std::mem::replace(&mut self.role, role) != role
     }
 
-    /// The other schedulers: the best placed of each data centre.
+    /// The other schedulers: the best-ranked of each data centre.
     pub fn other_schedulers(&self, now: Timestamp) -> Vec<SocketAddrV4> {
-        self.best_of_each(now, Peer::schedules)
+        self.best_per_data_centre(now, Peer::schedules)
     }
 
-    /// Those that are or may have become the other schedulers: one that was heard while it started has not told
-    /// this one what it became.
+    /// The instances that are or may have become the other schedulers: an instance that was
+    /// starting when last heard has not reported what it became.
     pub fn likely_other_schedulers(&self, now: Timestamp) -> Vec<SocketAddrV4> {
-        self.best_of_each(now, |peer| peer.part.role != Role::Member)
+        self.best_per_data_centre(now, |peer| peer.status.role != Role::Member)
     }
 
-    /// The best placed of each data centre.
-    fn best_of_each(&self, now: Timestamp, is_meant: fn(&Peer) -> bool) -> Vec<SocketAddrV4> {
+    /// The best-ranked matching instances of each data centre.
+    fn best_per_data_centre(
+        &self,
+        now: Timestamp,
+        matches: fn(&Peer) -> bool,
+    ) -> Vec<SocketAddrV4> {
         let mut centres: Vec<&DataCentre> =
-            self.there(now).filter_map(|(_, peer)| peer.data_centre.as_ref()).collect();
+            self.alive(now).filter_map(|(_, peer)| peer.data_centre.as_ref()).collect();
         centres.sort();
         centres.dedup();
-        let named = centres.into_iter().flat_map(|centre| self.best(now, centre, is_meant));
-        let unplaced = self.there(now).filter(|(_, p)| p.data_centre.is_none() && is_meant(p));
-        named.chain(unplaced.map(|(address, _)| address)).collect()
+        let best = centres.into_iter().flat_map(|centre| self.best(now, centre, matches));
+        let unknown_centre = self.alive(now).filter(|(_, p)| p.data_centre.is_none() && matches(p));
+        best.chain(unknown_centre.map(|(address, _)| address)).collect()
     }
 
-    /// Schedulers that have fallen silent. They may be cut off, and hear of the others once they are
-    /// not; they are told no more than that this instance is there.
+    /// Schedulers that have fallen silent. They may be partitioned and need to hear of the others
+    /// once the partition ends, so they receive heartbeats and nothing else.
     pub fn silent_schedulers(&self, now: Timestamp) -> impl Iterator<Item = SocketAddrV4> + '_ {
         let silent = move |peer: &Peer| peer.schedules() && !peer.is_alive(now);
         self.peers.iter().filter(move |(_, peer)| silent(peer)).map(|(address, _)| *address)
     }
 
-    /// The instances of this data centre that are told of this one and of the watched tables, but of no
-    /// work: those that do not schedule, and any that schedules beside enough better placed ones, which
-    /// leaves it to those once it hears them.
+    /// The instances of this data centre that receive heartbeats and the watched tables, but no
+    /// work: those that do not schedule, and any surplus scheduler, which stops scheduling once it
+    /// hears the better-ranked ones.
     pub fn members(&self, now: Timestamp) -> impl Iterator<Item = SocketAddrV4> + '_ {
         let schedulers = self.local_schedulers(now);
         let is_member = move |address: SocketAddrV4, peer: &Peer| {
             peer.runs_in(&self.home) && !schedulers.contains(&address)
         };
-        self.there(now).filter(move |(address, peer)| is_member(*address, peer)).map(|(a, _)| a)
+        self.alive(now).filter(move |(address, peer)| is_member(*address, peer)).map(|(a, _)| a)
     }
 
-    /// The schedulers of this data centre: the best placed.
+    /// The schedulers of this data centre: the best-ranked ones.
     pub fn local_schedulers(
         &self,
         now: Timestamp,
@@ -134,10 +142,12 @@
         self.best(now, &self.home, Peer::schedules)
     }
 
-    /// The scheduler that this instance asks, but for those in `asked`. Instances prefer different
-    /// ones, always the same, and pass over one that did not answer.
+    /// The scheduler that this instance asks, excluding those in `asked`. Each instance
+    /// consistently prefers one scheduler, and different instances prefer different ones.
+    /// Schedulers that did not answer are skipped.
     pub fn scheduler(&self, now: Timestamp, asked: &[SocketAddrV4]) -> Option<SocketAddrV4> {
-        let usable = self.best(now, &self.home, |peer| peer.schedules() && !peer.is_doubted(now));
+        let usable =
+            self.best(now, &self.home, |peer| peer.schedules() && !peer.is_unresponsive(now));
         let rank = |address: &SocketAddrV4| {
             let mut hasher = DefaultHasher::new();
             (self.own.address(), address).hash(&mut hasher);
@@ -146,56 +156,57 @@
         usable.into_iter().filter(|address| !asked.contains(address)).min_by_key(rank)
     }
 
-    /// The scheduler that plans the long prompts of a service for all, but for those in `asked`; none if
-    /// this instance does. All find the same one: the best placed, in an order that differs by service.
+    /// The scheduler that plans the long prompts of a service for all instances, excluding those in
+    /// `asked`; `None` if it is this instance. All instances select the same one: the one with the
+    /// highest capacity, with ties broken differently for each service.
     ///
-    /// Answers bursts of long prompts that wait for the same engines. Where each scheduler planned its
-    /// own, several took the same dozen engines in the same millisecond, before they had heard of each
-    /// other, and parts that were each within the pause of a stream added up to two seconds. Beside 150
-    /// engines 167 of 277 prompts above 110,000 tokens were on time with one planner, and 123 of 278
-    /// where each scheduler planned its own, one run each.
+    /// This handles bursts of long prompts that wait for the same engines. When each scheduler
+    /// planned its own, several took the same dozen engines in the same millisecond, before they
+    /// had heard of each other, and parts that were each within the allowed gap of a stream added
+    /// up to two seconds. With 150 engines, 167 of 277 prompts above 110,000 tokens were on time
+    /// with one planner, and 123 of 278 when each scheduler planned its own, in one run each.
     pub fn planner(
         &self,
         now: Timestamp,
         service: &ServiceName,
         asked: &[SocketAddrV4],
     ) -> Option<SocketAddrV4> {
-        self.placing_for(now, service, asked, true).and_then(Arbiter::address)
+        self.coordinator_for(now, service, asked, true).and_then(Arbiter::address)
     }
 
-    /// The instance that places the suspects of a service for all, but for those in `asked`, so that two
-    /// tries of one request cannot begin at once, nor two suspects on one engine. None if no instance that
-    /// schedules is heard and this one does not.
+    /// The instance that places the suspects of a service for all instances, excluding those in
+    /// `asked`. A single one ensures that two tries of one request cannot start at once, nor two
+    /// suspects on one engine. `None` if no scheduler is known and this instance is not one.
     pub fn arbiter(
         &self,
         now: Timestamp,
         service: &ServiceName,
         asked: &[SocketAddrV4],
     ) -> Option<Arbiter> {
-        self.placing_for(now, service, asked, self.schedules())
+        self.coordinator_for(now, service, asked, self.schedules())
     }
 
-    /// The instance that counts for all what the limited endpoints of a service get. None if no instance that
-    /// schedules is heard and this one does not.
+    /// The instance that grants the permits of a service's rate-limited endpoints for all
+    /// instances. `None` if no scheduler is known and this instance is not one.
     ///
-    /// One that did not answer in time is still the one: of two that count, each would give away the whole limit.
-    /// Another takes its part once it is not heard any more.
+    /// A coordinator that did not answer in time keeps the role: two coordinators would each grant
+    /// the whole limit. Another one takes over once it is silent.
     pub fn limit_coordinator(&self, now: Timestamp, service: &ServiceName) -> Option<Arbiter> {
         let usable =
-            |_, peer: &Peer| peer.schedules() && peer.was_heard_within(now, COUNTER_SILENCE);
+            |_, peer: &Peer| peer.schedules() && peer.was_heard_within(now, COORDINATOR_TIMEOUT);
         self.best_for(now, service, usable, self.schedules())
     }
 
-    /// The part of the known instances that is heard, this one included, from zero to one. Those that have fallen
-    /// silent may be cut off and send to the same endpoints.
+    /// The share of the known instances that is reachable, including this one, from zero to one.
+    /// Silent instances may be partitioned and send to the same endpoints.
     pub fn reachable_share(&self, now: Timestamp) -> f64 {
-        let heard = self.count_by_centre(|peer| peer.was_heard_within(now, COUNTER_SILENCE));
+        let heard = self.count_by_centre(|peer| peer.was_heard_within(now, COORDINATOR_TIMEOUT));
         let known = self.count_by_centre(|peer| peer.heard.is_some());
         heard as f64 / known.max(1) as f64
     }
 
-    /// The best placed scheduler that is not doubted; this instance only if `with_own`.
-    fn placing_for(
+    /// The best-ranked scheduler that is responsive; this instance only if `with_own` is set.
+    fn coordinator_for(
         &self,
         now: Timestamp,
         service: &ServiceName,
@@ -203,12 +214,13 @@
         with_own: bool,
     ) -> Option<Arbiter> {
         let usable = |address: SocketAddrV4, peer: &Peer| {
-            peer.schedules() && !peer.is_doubted(now) && !asked.contains(&address)
+            peer.schedules() && !peer.is_unresponsive(now) && !asked.contains(&address)
         };
         self.best_for(now, service, usable, with_own)
     }
 
-    /// The best placed of the usable instances, in an order that differs by service; this one only if `with_own`.
+    /// The best-ranked usable instance, with ties broken differently for each service; this
+    /// instance only if `with_own` is set.
     fn best_for(
         &self,
         now: Timestamp,
@@ -221,38 +233,39 @@
             (service.as_str(), standing.address()).hash(&mut hasher);
             (Reverse(standing.capacity()), hasher.finish())
         };
-        let others = self.there(now).filter(|(address, peer)| usable(*address, peer));
+        let others = self.alive(now).filter(|(address, peer)| usable(*address, peer));
         let others = others.map(|(address, peer)| InstanceRank::new(peer.capacity, address));
         let best = others.chain(with_own.then_some(self.own)).min_by_key(rank)?;
         Some(if best == self.own { Arbiter::Local } else { Arbiter::Remote(best.address()) })
     }
 
-    /// The scheduler that asks an engine how it is; none if it is this instance. Engines are spread over
-    /// all schedulers, so that each is asked once whoever suspects it.
+    /// The scheduler that queries the pace of an engine; `None` if it is this instance. Engines are
+    /// spread over all schedulers, so that each is queried once, whichever instance suspects it.
     pub fn probing_scheduler(&self, now: Timestamp, engine: &EndpointId) -> Option<SocketAddrV4> {
         let rank = |standing: &InstanceRank| {
             let mut hasher = DefaultHasher::new();
             (engine.as_str(), standing.address()).hash(&mut hasher);
             hasher.finish()
         };
-        let others = self.there(now).filter(|(_, peer)| peer.schedules() && !peer.is_doubted(now));
+        let others =
+            self.alive(now).filter(|(_, peer)| peer.schedules() && !peer.is_unresponsive(now));
         let others = others.map(|(address, peer)| InstanceRank::new(peer.capacity, address));
-        let asker = others.chain([self.own]).min_by_key(rank)?;
-        (asker != self.own).then(|| asker.address())
+        let prober = others.chain([self.own]).min_by_key(rank)?;
+        (prober != self.own).then(|| prober.address())
     }
 
-    /// Notes that the scheduler at `address` did not answer in time.
+    /// Records that the scheduler at `address` did not answer in time.
     pub fn mark_unresponsive(&mut self, now: Timestamp, address: SocketAddrV4) {
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.doubted_at = Some(now);
+            peer.unresponsive_at = Some(now);
         }
     }
 
-    /// The instances of this data centre that should schedule as well, the best placed first.
+    /// The members of this data centre that should become schedulers, the best-ranked first.
     pub fn promotion_candidates(&self, now: Timestamp) -> Vec<SocketAddrV4> {
         let scheduling = self.standings(now, &self.home, Peer::schedules).count() + 1;
         let mut members: Vec<InstanceRank> =
-            self.standings(now, &self.home, |peer| peer.part.role == Role::Member).collect();
+            self.standings(now, &self.home, |peer| peer.status.role == Role::Member).collect();
         members.sort();
         let missing = SCHEDULERS_PER_DATA_CENTRE.saturating_sub(scheduling);
         members.into_iter().take(missing).map(|standing| standing.address()).collect()
@@ -262,10 +275,10 @@
         &'a self,
         now: Timestamp,
         data_centre: &'a DataCentre,
-        is_meant: impl Fn(&Peer) -> bool + 'a,
+        matches: impl Fn(&Peer) -> bool + 'a,
     ) -> impl Iterator<Item = InstanceRank> + 'a {
-        self.there(now)
-            .filter(move |(_, peer)| peer.runs_in(data_centre) && is_meant(peer))
+        self.alive(now)
+            .filter(move |(_, peer)| peer.runs_in(data_centre) && matches(peer))
             .map(|(address, peer)| InstanceRank::new(peer.capacity, address))
     }
 
@@ -273,9 +286,9 @@
         &self,
         now: Timestamp,
         data_centre: &DataCentre,
-        is_meant: impl Fn(&Peer) -> bool,
+        matches: impl Fn(&Peer) -> bool,
     ) -> SmallVec<[SocketAddrV4; SCHEDULERS_PER_DATA_CENTRE]> {
-        let mut all: Vec<InstanceRank> = self.standings(now, data_centre, is_meant).collect();
+        let mut all: Vec<InstanceRank> = self.standings(now, data_centre, matches).collect();
         all.sort();
         all.into_iter()
             .take(SCHEDULERS_PER_DATA_CENTRE)
--- a/crates/ringbend-gateway/src/permits.rs
+++ b/crates/ringbend-gateway/src/permits.rs
@@ -1,8 +1,9 @@
-//! The places that endpoints with a limit have left, and who is next to get one.
+//! Permits of rate-limited endpoints, and the queue of requests that wait for one.
 //!
-//! One instance of all data centres counts the places of a service's limited endpoints, so that their sum over all
-//! instances is what the endpoint named. A place comes each time that the limit allows one more request; few are
-//! kept, so that no span of time gets more than the limit allows it and those few.
+//! One instance of all data centres grants the permits of a service's rate-limited endpoints, so
+//! that the requests of all instances together stay within the limit that the endpoint named. A
+//! token bucket gains a permit each time the limit allows one more request. Its capacity is small,
+//! so that any period exceeds the limit by at most that capacity.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -14,84 +15,89 @@
 use crate::load::WorkId;
 use crate::pace::LIMITED_QUERY_INTERVAL;
 
-/// The most places that an endpoint keeps while nobody takes them.
-const MOST_PLACES: f64 = 1.5;
+/// The capacity of an endpoint's bucket.
+const BUCKET_CAPACITY: f64 = 1.5;
 
-/// An endpoint that only tells in its answers to requests whether it still has a limit gets one after this time,
-/// however small the limit.
-const TRY_AFTER: Duration = Duration::from_secs(10);
+/// An endpoint that reports its limit only in responses to requests gets a request after this time,
+/// however small the limit, to find out whether the limit still applies.
+const PROBE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The part of its aim after which a request that waits for a place is late: the rest is for being served.
+/// The share of its target latency after which a request that waits for a permit is late; the rest
+/// is needed to serve it.
 const WAIT_SHARE: f64 = 0.75;
 
-/// Places further off than this are none to wait for or to come back for.
-const FURTHEST: Duration = Duration::from_secs(60);
+/// Permits further in the future than this are neither waited for nor promised.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// How exactly the time of a place is looked for.
-const STEP: Duration = Duration::from_millis(1);
+/// Precision with which the time of a permit is computed.
+const PRECISION: Duration = Duration::from_millis(1);
 
 #[derive(Debug, Clone)]
 struct Bucket {
     service: ServiceName,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    places: f64,
-    /// When `places` was right.
+    permits: f64,
+    /// When `permits` was last updated.
     at: Timestamp,
-    /// When a place was last taken, or the first word of a limit came.
-    taken: Timestamp,
+    /// When a permit was last taken, or when the limit was first observed.
+    last_taken: Timestamp,
 }
 
 impl Bucket {
-    fn places_at(&self, at: Timestamp) -> f64 {
+    fn permits_at(&self, at: Timestamp) -> f64 {
         let more = self.rate * at.since(self.at).as_secs_f64();
-        (self.places + more).min(MOST_PLACES)
+        (self.permits + more).min(BUCKET_CAPACITY)
     }
 
-    /// Those that will have come at `at` if nobody takes any meanwhile and all are kept.
-    fn coming_by(&self, at: Timestamp) -> f64 {
+    /// The permits that will have been granted by `at`, if none is taken meanwhile and all are
+    /// kept.
+    fn granted_by(&self, at: Timestamp) -> f64 {
         let more = self.rate * at.since(self.at).as_secs_f64();
-        (self.places.min(MOST_PLACES) + more).max(0.0).floor()
+        (self.permits.min(BUCKET_CAPACITY) + more).max(0.0).floor()
     }
 }
 
-/// A request that waits for a place: the most urgent first, and of those the one that is late first.
+/// A request that waits for a permit. Ordered by priority, then by the time at which it is late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PermitWaiter {
     rank: u8,
-    /// When it is too late for it.
+    /// The latest time at which a permit is useful to it.
     pub due: Timestamp,
     id: WorkId,
 }
 
 impl PermitWaiter {
-    /// The place in line of a request. One that is late already waits as long as its caller.
+    /// Creates the queue entry of a request. A request that is already late waits until its caller
+    /// disconnects.
     pub fn new(now: Timestamp, id: WorkId, job: &Job) -> Self {
         let due = job.since + job.first_by.since(job.since).mul_f64(WAIT_SHARE);
         Self { rank: job.rank, due: if due > now { due } else { job.caller_timeout_at }, id }
     }
 }
 
-/// The places of endpoints with a limit, and who waits for one.
+/// The permits of rate-limited endpoints, and the requests that wait for one.
 #[derive(Debug, Clone, Default)]
 pub struct Permits {
     buckets: HashMap<EndpointId, Bucket>,
-    lines: BTreeMap<ServiceName, BTreeSet<PermitWaiter>>,
-    /// Up to when places have been promised to those who were told to come back.
+    queues: BTreeMap<ServiceName, BTreeSet<PermitWaiter>>,
+    /// Until when permits have been promised to callers that were told to retry later.
     promised: BTreeMap<ServiceName, Timestamp>,
-    /// The services whose places this instance counts.
-    counted: BTreeSet<ServiceName>,
+    /// The services whose permits this instance grants.
+    coordinated: BTreeSet<ServiceName>,
 }
 
 impl Permits {
-    /// Notes whether this instance counts the places of a service for all. Returns whether that is news.
+    /// Sets whether this instance grants the permits of a service for all. Returns whether that has
+    /// changed.
     ///
-    /// Whoever begins to count does not know what the one before has given away, and begins with none.
+    /// A new coordinator does not know how many permits the previous one has granted, and starts
+    /// with none.
     pub fn set_coordinating(&mut self, service: &ServiceName, counts: bool) -> bool {
         if !counts {
-            return self.counted.remove(service);
+            return self.coordinated.remove(service);
         }
-        let is_new = self.counted.insert(service.clone());
+        let is_new = self.coordinated.insert(service.clone());
         if is_new {
             self.buckets.retain(|_, bucket| bucket.service != *service);
             self.promised.remove(service);
@@ -99,45 +105,46 @@
         is_new
     }
 
-    /// Whether an endpoint that takes `rate` requests a second has a place now. It has none when its limit is first
-    /// seen: what was sent before that counts as well.
+    /// Whether an endpoint that takes `rate` requests per second has a permit now. It has none when
+    /// its limit is first observed, because earlier requests count as well.
     pub fn has_permit(
         &mut self,
         now: Timestamp,
         endpoint: &Endpoint,
         rate: f64,
-        tells_in_reports: bool,
+        reports_limit: bool,
     ) -> bool {
-        let bucket = self.settle(now, endpoint, rate);
-        let is_silent = !tells_in_reports && now.since(bucket.taken) >= TRY_AFTER;
-        bucket.places >= 1.0 || is_silent
+        let bucket = self.refill(now, endpoint, rate);
+        let is_probe_due = !reports_limit && now.since(bucket.last_taken) >= PROBE_INTERVAL;
+        bucket.permits >= 1.0 || is_probe_due
     }
 
-    /// Takes a place of an endpoint.
+    /// Takes a permit of an endpoint.
     pub fn take(&mut self, now: Timestamp, endpoint: &EndpointId) {
         if let Some(bucket) = self.buckets.get_mut(endpoint) {
-            bucket.places = (bucket.places_at(now) - 1.0).max(0.0);
-            (bucket.at, bucket.taken) = (now, now);
+            bucket.permits = (bucket.permits_at(now) - 1.0).max(0.0);
+            (bucket.at, bucket.last_taken) = (now, now);
         }
     }
 
-    fn settle(&mut self, now: Timestamp, endpoint: &Endpoint, rate: f64) -> &mut Bucket {
+    fn refill(&mut self, now: Timestamp, endpoint: &Endpoint, rate: f64) -> &mut Bucket {
         let new = || {
             let service = endpoint.service.clone();
-            Bucket { service, rate, places: 0.0, at: now, taken: now }
+            Bucket { service, rate, permits: 0.0, at: now, last_taken: now }
         };
         let bucket = self.buckets.entry(endpoint.id.clone()).or_insert_with(new);
-        bucket.places = bucket.places_at(now);
+        bucket.permits = bucket.permits_at(now);
         (bucket.rate, bucket.at) = (rate, now);
         bucket
     }
 
-    /// Forgets endpoints that have no limit any more.
+    /// Drops endpoints that have no limit any more.
     pub fn retain(&mut self, is_limited: impl Fn(&EndpointId) -> bool) {
         self.buckets.retain(|endpoint, _| is_limited(endpoint));
     }
 
-    /// How long until so many places have come at these endpoints; none if that is too far off.
+    /// The time until this many permits have been granted at these endpoints; `None` if that is too
+    /// far in the future.
     pub fn time_until<'a>(
         &self,
         now: Timestamp,
@@ -146,54 +153,55 @@
     ) -> Option<Duration> {
         let buckets: Vec<&Bucket> = endpoints.filter_map(|e| self.buckets.get(e)).collect();
         let have = |after| {
-            let coming = buckets.iter().map(|bucket| bucket.coming_by(now + after));
+            let coming = buckets.iter().map(|bucket| bucket.granted_by(now + after));
             coming.sum::<f64>() >= count as f64
         };
-        if !have(FURTHEST) {
+        if !have(MAX_WAIT) {
             return None;
         }
-        let (mut none, mut all) = (Duration::ZERO, FURTHEST);
-        while all - none > STEP {
+        let (mut none, mut all) = (Duration::ZERO, MAX_WAIT);
+        while all - none > PRECISION {
             let middle = (none + all) / 2;
             if have(middle) { all = middle } else { none = middle }
         }
         Some(all)
     }
 
-    /// Puts a request in line.
+    /// Adds a request to the queue.
     pub fn enqueue(&mut self, service: &ServiceName, waiting: PermitWaiter) {
-        self.lines.entry(service.clone()).or_default().insert(waiting);
+        self.queues.entry(service.clone()).or_default().insert(waiting);
     }
 
-    /// Takes it out again.
+    /// Removes a request from the queue.
     pub fn dequeue(&mut self, service: &ServiceName, waiting: PermitWaiter) {
-        if let Some(line) = self.lines.get_mut(service) {
-            line.remove(&waiting);
-            if line.is_empty() {
-                self.lines.remove(service);
+        if let Some(queue) = self.queues.get_mut(service) {
+            queue.remove(&waiting);
+            if queue.is_empty() {
+                self.queues.remove(service);
             }
         }
     }
 
-    /// How many go before it.
+    /// The number of requests before it in the queue.
     pub fn ahead_of(&self, service: &ServiceName, waiting: &PermitWaiter) -> usize {
-        self.lines.get(service).map_or(0, |line| line.range(..waiting).count())
+        self.queues.get(service).map_or(0, |queue| queue.range(..waiting).count())
     }
 
-    /// Whether a request is next, or nobody waits.
+    /// Whether the request is first in the queue, or the queue is empty.
     pub fn is_next(&self, service: &ServiceName, id: WorkId) -> bool {
-        let first = self.lines.get(service).and_then(|line| line.first());
+        let first = self.queues.get(service).and_then(|queue| queue.first());
         first.is_none_or(|first| first.id == id)
     }
 
-    /// How many wait for places of a service.
+    /// The number of requests that wait for permits of a service.
     pub fn queue_len(&self, service: &ServiceName) -> usize {
-        self.lines.get(service).map_or(0, BTreeSet::len)
+        self.queues.get(service).map_or(0, BTreeSet::len)
     }
 
-    /// When a caller should come back that gets no place, `wait` being the time of the next one: each a place
-    /// later than the one before, so that they do not return together. At most `within`. Where none is in sight it
-    /// is when the endpoints have been asked again.
+    /// The delay after which a caller without a permit should retry, with `wait` being the time
+    /// until the next permit. Each caller is told one permit later than the previous one, so that
+    /// they do not return together; `within` is the maximum. Without a known next permit it is the
+    /// time until the endpoints have been queried again.
     pub fn retry_after(
         &mut self,
         now: Timestamp,
@@ -211,7 +219,7 @@
         if after > within {
             return within;
         }
-        let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(FURTHEST);
+        let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_WAIT);
         self.promised.insert(service.clone(), at + step);
         after
     }
--- a/crates/ringbend-gateway/src/quarantine.rs
+++ b/crates/ringbend-gateway/src/quarantine.rs
@@ -1,16 +1,19 @@
-//! Which requests have ended the engines that ran them, over all tries of their callers and all instances.
+//! Requests that have ended the engines that ran them, over all tries of their callers and all
+//! instances.
 //!
-//! A request is known by its fingerprint. A process of an endpoint that ended while it ran the request is a
-//! strike. One strike makes a suspect: most suspects only ran beside the request that is to blame, and are
-//! cleared by the first run that ends well anywhere. With `STRIKES_TO_HOLD` strikes the request is held: it is sent
-//! to no endpoint any more, but for a few tries long afterwards.
+//! A request is identified by its fingerprint. A process of an endpoint that ended while it ran the
+//! request is a strike. One strike makes the request a suspect: most suspects merely ran beside the
+//! request that is to blame, and are cleared by the first successful run anywhere. With
+//! `STRIKES_TO_HOLD` strikes the request is held: it is sent to no endpoint any more, except for a
+//! few tries much later.
 //!
-//! Each strike is by a run that began when all strikes before it were known, so that it ran apart from other
-//! suspects. Of several runs that were under way together one counts: a call that all send, and that ran on
-//! each endpoint, would else be held with the one request that ended them all.
+//! Each strike stems from a run that began when all earlier strikes were known, so that it ran
+//! apart from other suspects. Of several concurrent runs only one counts: otherwise a call that
+//! every client sends, and that ran on each endpoint, would be held together with the one request
+//! that ended them all.
 //!
-//! What is known of a request only grows within a round, and a later round goes before an earlier one. So
-//! instances can tell each other in any order, more than once, and end up with the same.
+//! The record of a request only grows within a round, and a later round supersedes an earlier one.
+//! Instances can therefore exchange records in any order, more than once, and converge.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -19,73 +22,77 @@
 use ringbend_types::{EndpointId, EndpointStart, Fingerprint, Timestamp};
 use smallvec::SmallVec;
 
-/// Strikes that hold a request. Two are no proof: an endpoint that ends by itself strikes all that run on it,
-/// and some of those meet a second one. That three do so in a row, each apart from other suspects, is most
-/// unlikely.
+/// Strikes that hold a request. Two are no proof: an endpoint that ends by itself strikes
+/// everything that runs on it, and some of those requests meet a second such endpoint. Three in a
+/// row, each apart from other suspects, are most unlikely without a cause.
 pub const STRIKES_TO_HOLD: usize = 3;
 
-/// How long after its last strike or try a held request is tried again, once for each entry: endpoints of
-/// another version may run it well. Few, as each try may end an endpoint with all that runs there.
-const TRIES_AFTER: [Duration; 2] = [Duration::from_secs(60), Duration::from_secs(600)];
+/// How long after its last strike or try a held request is tried again, once per entry: endpoints
+/// of another version may run it successfully. There are few entries, as each try may end an
+/// endpoint with everything that runs there.
+const TRY_DELAYS: [Duration; 2] = [Duration::from_secs(60), Duration::from_secs(600)];
 
-/// How long a suspect is remembered after its last strike, and one that was cleared. Longer than callers go on
-/// coming back with one request.
-const SUSPECT_TIME: Duration = Duration::from_secs(120);
+/// How long a suspect is remembered after its last strike, and a request after it was cleared.
+/// Longer than callers keep retrying one request.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(120);
 
 /// How long a held request is remembered after its last strike or try.
-const HELD_TIME: Duration = Duration::from_secs(24 * 3600);
+const HELD_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// The most requests that are remembered; some 150 bytes each. What gives way first has the fewest strikes,
-/// and of those the oldest.
-const MOST_KEPT: usize = 4_096;
+/// The maximum number of remembered requests, about 150 bytes each. Those with the fewest strikes
+/// are evicted first, and among those the oldest.
+const MAX_RECORDS: usize = 4_096;
 
-/// The most requests that an instance is told of which has just started: eight datagrams. Those with three strikes
-/// come first, those with one are forgotten after two minutes.
-const MOST_TOLD_AT_START: usize = 512;
+/// The maximum number of records sent to an instance that has just started: eight datagrams. Those
+/// with three strikes come first; those with one are dropped after two minutes.
+const MAX_SENT_AT_START: usize = 512;
 
-/// What was noted within this time is told again with each heartbeat, as datagrams are lost. Longer than
-/// an instance may be silent before it counts as gone; one that comes back after that is told all.
-const TOLD_AGAIN: Duration = Duration::from_secs(5);
+/// Records that changed within this time are repeated with each heartbeat, since datagrams can be
+/// lost. Longer than the time after which a silent instance counts as gone; an instance that
+/// returns later receives everything.
+const REPEAT_TIME: Duration = Duration::from_secs(5);
 
 /// The process of an endpoint that ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndedProcess {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// When the process had started, if endpoints tell.
+    /// When the process had started, if endpoints report it.
     pub start: Option<EndpointStart>,
 }
 
-/// What is known of one request, as instances tell each other.
+/// The record of one request, as exchanged between instances.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspicion {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Raised each time that it is cleared.
+    /// Raised each time the request is cleared.
     pub round: u32,
-    /// The processes that ended while they ran it, one for each strike, in order; `STRIKES_TO_HOLD` at most.
+    /// The processes that ended while they ran it, one per strike, in order; `STRIKES_TO_HOLD` at
+    /// most.
     pub ended: SmallVec<[EndedProcess; STRIKES_TO_HOLD]>,
-    /// How often it was tried since it is held.
+    /// The number of tries since the request is held.
     pub tries: u8,
 }
 
 impl Suspicion {
-    /// Whether one strike more holds the request, or it is held: all instances must know, also later ones.
+    /// Whether the request is held, or would be with one more strike. All instances must know such
+    /// a record, including those that start later.
     pub fn is_severe(&self) -> bool {
         self.ended.len() + 1 >= STRIKES_TO_HOLD
     }
 
-    fn of(fingerprint: Fingerprint) -> Self {
+    fn new(fingerprint: Fingerprint) -> Self {
         Self { fingerprint, round: 0, ended: SmallVec::new(), tries: 0 }
     }
 }
 
-/// What follows for a request from what is known.
+/// How a request is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectState {
-    /// Nothing is known against it.
+    /// It has no strikes.
     Clear,
-    /// It ran on so many endpoints that ended: it runs on one at a time, apart from other suspects.
+    /// It has this many strikes: it runs on one endpoint at a time, apart from other suspects.
     Suspect(usize),
     /// It is sent to no endpoint.
     Held,
@@ -94,8 +101,8 @@
 #[derive(Debug, Clone)]
 struct Record {
     suspicion: Suspicion,
-    /// When this instance last heard something new.
-    changed: Timestamp,
+    /// When this instance last learned something new.
+    changed_at: Timestamp,
 }
 
 impl Record {
@@ -103,8 +110,8 @@
         self.suspicion.ended.len() >= STRIKES_TO_HOLD
     }
 
-    fn lasts(&self) -> Duration {
-        if self.is_held() { HELD_TIME } else { SUSPECT_TIME }
+    fn retention(&self) -> Duration {
+        if self.is_held() { HELD_RETENTION } else { SUSPECT_RETENTION }
     }
 }
 
@@ -115,7 +122,7 @@
 }
 
 impl Quarantine {
-    /// What follows for a request.
+    /// How a request is treated.
     pub fn state(&self, fingerprint: Fingerprint) -> SuspectState {
         match self.strikes(fingerprint) {
             0 => SuspectState::Clear,
@@ -124,100 +131,102 @@
         }
     }
 
-    /// How many strikes the request has.
-    pub fn strikes(&self, of: Fingerprint) -> usize {
-        self.records.get(&of).map_or(0, |record| record.suspicion.ended.len())
+    /// The number of strikes of the request.
+    pub fn strikes(&self, fingerprint: Fingerprint) -> usize {
+        self.records.get(&fingerprint).map_or(0, |record| record.suspicion.ended.len())
     }
 
-    /// Whether a suspect may be put where these run. What has two strikes runs beside no other suspect, so that
-    /// its third strike is by nobody else; others are kept apart only where there is room, as where many
-    /// endpoints end at once there are more suspects than endpoints.
+    /// Whether a suspect may run beside these. A request with two strikes runs beside no other
+    /// suspect, so that its third strike can be attributed to it. Others are kept apart only if
+    /// there is room: when many endpoints end at once, there are more suspects than endpoints.
     pub fn may_run_beside(
         &self,
-        of: Fingerprint,
+        fingerprint: Fingerprint,
         mut others: impl Iterator<Item = Fingerprint>,
     ) -> bool {
-        let is_severe = |of| self.strikes(of) + 1 >= STRIKES_TO_HOLD;
-        others.all(|other| other == of || (!is_severe(of) && !is_severe(other)))
+        let is_severe = |fingerprint| self.strikes(fingerprint) + 1 >= STRIKES_TO_HOLD;
+        others.all(|other| other == fingerprint || (!is_severe(fingerprint) && !is_severe(other)))
     }
 
-    /// Notes that a process ended while it ran the request, by a run that began when the request had so many
-    /// strikes. Returns whether that is one strike more.
+    /// Records that a process ended while it ran the request. The run began when the request had
+    /// `before` strikes. Returns whether this adds a strike.
     pub fn strike(
         &mut self,
         now: Timestamp,
-        of: Fingerprint,
+        fingerprint: Fingerprint,
         process: EndedProcess,
         before: usize,
     ) -> bool {
-        if before != self.strikes(of) || before >= STRIKES_TO_HOLD {
+        if before != self.strikes(fingerprint) || before >= STRIKES_TO_HOLD {
             return false;
         }
-        let mut told = self.get(of).cloned().unwrap_or_else(|| Suspicion::of(of));
-        if told.ended.contains(&process) {
-            // It came again to where it had been cut off, before that was known to be gone.
+        let mut updated =
+            self.get(fingerprint).cloned().unwrap_or_else(|| Suspicion::new(fingerprint));
+        if updated.ended.contains(&process) {
+            // It was sent again to the process that had cut it off, before that process was known
+            // to have ended.
             return false;
         }
-        told.ended.push(process);
-        self.merge(now, &told)
+        updated.ended.push(process);
+        self.merge(now, &updated)
     }
 
-    /// Notes that a run of the request ended well. Returns whether anything was held against it.
-    pub fn clear(&mut self, now: Timestamp, of: Fingerprint) -> bool {
-        let Some(record) = self.records.get_mut(&of) else { return false };
+    /// Records a successful run of the request. Returns whether it had any strikes.
+    pub fn clear(&mut self, now: Timestamp, fingerprint: Fingerprint) -> bool {
+        let Some(record) = self.records.get_mut(&fingerprint) else { return false };
         if record.suspicion.ended.is_empty() {
             return false;
         }
         record.suspicion.round += 1;
         record.suspicion.ended.clear();
         record.suspicion.tries = 0;
-        record.changed = now;
+        record.changed_at = now;
         true
     }
 
-    /// Takes in what another instance knows. Returns whether any of it is new.
-    pub fn merge(&mut self, now: Timestamp, told: &Suspicion) -> bool {
-        let Some(record) = self.records.get_mut(&told.fingerprint) else {
-            self.insert(now, told.clone());
+    /// Merges a record received from another instance. Returns whether anything in it is new.
+    pub fn merge(&mut self, now: Timestamp, received: &Suspicion) -> bool {
+        let Some(record) = self.records.get_mut(&received.fingerprint) else {
+            self.insert(now, received.clone());
             return true;
         };
         let known = &mut record.suspicion;
-        if told.round < known.round {
+        if received.round < known.round {
             return false;
         }
-        if told.round > known.round {
-            *known = told.clone();
-            record.changed = now;
+        if received.round > known.round {
+            *known = received.clone();
+            record.changed_at = now;
             return true;
         }
         let before = (known.ended.len(), known.tries);
-        for (at, process) in told.ended.iter().take(STRIKES_TO_HOLD).enumerate() {
+        for (at, process) in received.ended.iter().take(STRIKES_TO_HOLD).enumerate() {
             match known.ended.get_mut(at) {
-                // Two runs that were under way together: all keep the same one.
+                // Two concurrent runs: all instances keep the same one.
                 Some(known) if process < known => *known = process.clone(),
                 Some(_) => {}
                 None => known.ended.push(process.clone()),
             }
         }
-        known.tries = known.tries.max(told.tries);
+        known.tries = known.tries.max(received.tries);
         let is_new = (known.ended.len(), known.tries) != before;
         if is_new {
-            record.changed = now;
+            record.changed_at = now;
         }
         is_new
     }
 
-    fn insert(&mut self, now: Timestamp, told: Suspicion) {
-        if self.records.len() >= MOST_KEPT {
+    fn insert(&mut self, now: Timestamp, received: Suspicion) {
+        if self.records.len() >= MAX_RECORDS {
             self.make_room(now);
         }
-        self.records.insert(told.fingerprint, Record { suspicion: told, changed: now });
+        self.records.insert(received.fingerprint, Record { suspicion: received, changed_at: now });
     }
 
     fn make_room(&mut self, now: Timestamp) {
         self.sweep(now);
-        let least = |(_, r): &(&Fingerprint, &Record)| (r.suspicion.ended.len(), r.changed);
-        while self.records.len() >= MOST_KEPT {
+        let least = |(_, r): &(&Fingerprint, &Record)| (r.suspicion.ended.len(), r.changed_at);
+        while self.records.len() >= MAX_RECORDS {
             let Some(least) = self.records.iter().min_by_key(least).map(|(id, _)| *id) else {
                 return;
             };
@@ -225,11 +234,11 @@
         }
     }
 
-    /// Forgets what was noted long ago. Returns the requests of which rows may be kept.
+    /// Drops old records. Returns the requests that may still have stored rows.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<Fingerprint> {
         let mut kept = Vec::new();
         self.records.retain(|fingerprint, record| {
-            let stays = now.since(record.changed) < record.lasts();
+            let stays = now.since(record.changed_at) < record.retention();
             if !stays && record.suspicion.is_severe() {
                 kept.push(*fingerprint);
             }
@@ -238,76 +247,77 @@
         kept
     }
 
-    /// The number, from one, of the try that a held request is due; none if it is not.
-    pub fn try_due(&self, now: Timestamp, of: Fingerprint) -> Option<u8> {
-        let (at, number) = self.next_try(of)?;
+    /// The number, starting from one, of the try that is due for a held request; `None` if none is
+    /// due.
+    pub fn try_due(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<u8> {
+        let (at, number) = self.next_try(fingerprint)?;
         (at <= now).then_some(number)
     }
 
-    /// How long until a held request may be tried; none if it never is.
-    pub fn until_try(&self, now: Timestamp, of: Fingerprint) -> Option<Duration> {
-        self.next_try(of).map(|(at, _)| at.since(now))
+    /// The time until a held request may be tried; `None` if it never is.
+    pub fn until_try(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<Duration> {
+        self.next_try(fingerprint).map(|(at, _)| at.since(now))
     }
 
-    fn next_try(&self, of: Fingerprint) -> Option<(Timestamp, u8)> {
-        let record = self.records.get(&of).filter(|record| record.is_held())?;
+    fn next_try(&self, fingerprint: Fingerprint) -> Option<(Timestamp, u8)> {
+        let record = self.records.get(&fingerprint).filter(|record| record.is_held())?;
         let tries = record.suspicion.tries;
-        let after = TRIES_AFTER.get(usize::from(tries))?;
-        Some((record.changed + *after, tries + 1))
+        let after = TRY_DELAYS.get(usize::from(tries))?;
+        Some((record.changed_at + *after, tries + 1))
     }
 
-    /// Notes that some instance has the try of this number.
-    pub fn record_try(&mut self, now: Timestamp, of: Fingerprint, number: u8) {
-        if let Some(record) = self.records.get_mut(&of)
+    /// Records that some instance has claimed the try with this number.
+    pub fn record_try(&mut self, now: Timestamp, fingerprint: Fingerprint, number: u8) {
+        if let Some(record) = self.records.get_mut(&fingerprint)
             && record.suspicion.tries < number
         {
             record.suspicion.tries = number;
-            record.changed = now;
+            record.changed_at = now;
         }
     }
 
-    /// What is known of a request.
+    /// The record of a request.
     pub fn get(&self, fingerprint: Fingerprint) -> Option<&Suspicion> {
         self.records.get(&fingerprint).map(|record| &record.suspicion)
     }
 
-    /// What is known of each request that is suspected or held.
+    /// The records of all requests that are suspected or held.
     pub fn suspicions(&self) -> impl Iterator<Item = &Suspicion> {
         self.records.values().map(|r| &r.suspicion).filter(|s| !s.ended.is_empty())
     }
 
-    /// What an instance needs to know that has just started: those with most strikes first. One that does not know of
-    /// a first strike would put that request beside a call with two.
+    /// The records for an instance that has just started, those with the most strikes first. An
+    /// instance that does not know of a first strike would place that request beside one with two.
     pub fn for_starting(&self) -> impl Iterator<Item = &Suspicion> {
         let struck = self.records.values().map(|r| &r.suspicion).filter(|s| !s.ended.is_empty());
         let mut struck: Vec<&Suspicion> = struck.collect();
         struck.sort_by_key(|s| (Reverse(s.ended.len()), s.fingerprint));
-        struck.into_iter().take(MOST_TOLD_AT_START)
+        struck.into_iter().take(MAX_SENT_AT_START)
     }
 
-    /// What was noted lately and matters most, to be told again.
+    /// The recent and most important records, to be sent again.
     pub fn recent(&self, now: Timestamp) -> impl Iterator<Item = &Suspicion> {
-        let is_recent = move |record: &&Record| now.since(record.changed) < TOLD_AGAIN;
+        let is_recent = move |record: &&Record| now.since(record.changed_at) < REPEAT_TIME;
         let recent = self.records.values().filter(is_recent).map(|record| &record.suspicion);
         recent.filter(|s| s.is_severe() || (s.ended.is_empty() && s.round > 0))
     }
 
-    /// How many requests are held.
+    /// The number of held requests.
     pub fn held_count(&self) -> usize {
         self.records.values().filter(|record| record.is_held()).count()
     }
 
-    /// How many requests are suspected or held.
+    /// The number of requests that are suspected or held.
     pub fn suspect_count(&self) -> usize {
         self.records.values().filter(|record| !record.suspicion.ended.is_empty()).count()
     }
 
-    /// How many are remembered, those that were cleared included.
+    /// The number of records, including those of cleared requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/ringbend-gateway/src/replica.rs
+++ b/crates/ringbend-gateway/src/replica.rs
@@ -1,4 +1,4 @@
-//! An instance's copy of the configuration: only rises, and knows how old it may be.
+//! An instance's copy of the configuration. Its version never decreases, and its age is known.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::freshness::{Freshness, Proof};
 use crate::snapshot::{ConfigVersion, Snapshot};
 
-/// What became of a configuration that was read.
+/// The result of offering a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferResult {
     /// It is in force now.
@@ -16,7 +16,7 @@
         /// The version it replaces.
         before: Option<ConfigVersion>,
     },
-    /// It is the one in force.
+    /// It is already in force.
     Same,
     /// It is older than the one in force and was ignored.
     Older,
@@ -27,12 +27,12 @@
 pub struct Replica {
     snapshot: Option<Arc<Snapshot>>,
     freshness: Freshness,
-    /// A later configuration was seen and could not be read.
-    missed: bool,
+    /// Whether a later configuration was seen that could not be decoded.
+    unreadable: bool,
 }
 
 impl Replica {
-    /// Takes in a configuration; one that is older than the one in force is ignored.
+    /// Offers a configuration; one older than that in force is ignored.
     pub fn offer(&mut self, snapshot: Snapshot) -> OfferResult {
         let before = self.version();
         match before {
@@ -41,37 +41,37 @@
             _ => {}
         }
         self.snapshot = Some(Arc::new(snapshot));
-        self.missed = false;
+        self.unreadable = false;
         OfferResult::Newer { before }
     }
 
-    /// Notes that a configuration was seen that cannot be read. The one in force may not be the
-    /// newest then, so nothing proves it until another one can be read.
+    /// Records that a configuration was seen that cannot be decoded. The one in force may not be
+    /// the newest then, so nothing proves it current until another one can be decoded.
     pub fn mark_unreadable(&mut self) {
-        self.missed = true;
+        self.unreadable = true;
     }
 
-    /// Whether a later configuration was seen that cannot be read.
+    /// Whether a later configuration was seen that cannot be decoded.
     pub fn has_unreadable(&self) -> bool {
-        self.missed
+        self.unreadable
     }
 
-    /// Notes an answer of the store that showed nothing newer than what has been offered.
+    /// Records a response of the store that showed nothing newer than what has been offered.
     pub fn prove(&mut self, proof: Proof, paired: bool) {
-        if !self.missed {
+        if !self.unreadable {
             self.freshness.prove(proof, paired);
         }
     }
 
-    /// Notes that another instance proved `version` the newest at `at`, on this one's clock. Says
-    /// nothing about any other version.
+    /// Records that another instance proved `version` the newest at `at`, on this one's clock. This
+    /// says nothing about any other version.
     pub fn prove_at(&mut self, version: ConfigVersion, at: Timestamp) {
-        if self.version() == Some(version) && !self.missed {
+        if self.version() == Some(version) && !self.unreadable {
             self.freshness.prove_at(at);
         }
     }
 
-    /// When it was last proved the newest.
+    /// When it was last proved to be the newest.
     pub fn proved_at(&self) -> Option<Timestamp> {
         self.freshness.proved_at()
     }
@@ -81,12 +81,12 @@
         self.snapshot.as_ref()
     }
 
-    /// Its version.
+    /// The version of the configuration in force.
     pub fn version(&self) -> Option<ConfigVersion> {
         self.snapshot.as_ref().map(|s| s.version)
     }
 
-    /// How long ago it was last proved to be the newest.
+    /// The time since it was last proved to be the newest.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.freshness.age(now)
     }
--- a/crates/ringbend-gateway/src/reservation.rs
+++ b/crates/ringbend-gateway/src/reservation.rs
@@ -1,7 +1,8 @@
-//! Memory that is held on engines for a prompt which is too large for one of them.
+//! Reservations of engine memory for a prompt that is too large for one engine.
 //!
-//! A ticket is held for `RESERVATION_TTL` from the last order that named it and is renewed while its request
-//! runs. An instance that is killed renews nothing, so the memory is free again soon after.
+//! A reservation lasts for `RESERVATION_TTL` from the last command that named it and is renewed
+//! while its request runs. An instance that is killed renews nothing, so the memory is released
+//! soon after.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,19 +11,19 @@
 
 use crate::load::WorkId;
 
-/// How long an engine holds memory after an order. It must be free again within four seconds of the
-/// end of its request, also when nobody is left to release it.
+/// How long an engine keeps a reservation after a command. The memory must be free again within
+/// four seconds of the end of its request, even if no instance is left to release it.
 pub const RESERVATION_TTL: Duration = Duration::from_millis(3_400);
 
-/// How often tickets are renewed: twice may fail before one lapses.
+/// The interval at which reservations are renewed. Two renewals may fail before one expires.
 pub const RESERVATION_RENEWAL: Duration = Duration::from_millis(1_100);
 
-/// The name of one ticket. Never used again, so a late order does no harm.
+/// The id of a reservation. It is never reused, so a late command does no harm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ReservationId {
-    /// The request's work.
+    /// The work of the request.
     pub work: WorkId,
-    /// Counts the tickets of that work.
+    /// Counts the reservations of that work.
     pub number: u32,
 }
 
@@ -32,24 +33,24 @@
     }
 }
 
-/// Memory held on one engine.
+/// Memory reserved on one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
-    /// Its name.
+    /// The id of the reservation.
     pub id: ReservationId,
     /// The engine.
     pub endpoint: EndpointId,
-    /// How much, in tokens.
+    /// The amount in tokens.
     pub tokens: u64,
 }
 
-/// What an engine says to an order.
+/// An engine's reply to a reservation command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReservationReply {
-    /// The memory is held, or free, as ordered.
+    /// The memory is reserved or released as requested.
     Done,
     /// The engine has too little free memory.
     NoRoom,
-    /// The order does not fit this engine at all.
+    /// The command is not valid for this engine.
     Refused,
 }
