--- a/crates/ringbend-gateway/src/retry_budget.rs
+++ b/crates/ringbend-gateway/src/retry_budget.rs
@@ -1,8 +1,9 @@
-//! The budget of repeats that all instances share.
+//! The retry budget that all instances share.
 //!
-//! In any window a service may get a number of arrivals beyond the first of each request: a ratio of
-//! its requests plus a fixed allowance, over all instances together. Each instance keeps to the
-//! ratio of its own requests and to an even part of the allowance, so nobody has to be asked.
+//! In any window a service may receive a limited number of retries beyond the first send of each
+//! request: a ratio of its requests plus a fixed allowance, summed over all instances. Each
+//! instance applies the ratio to its own requests and takes an equal share of the allowance, so no
+//! coordination between instances is needed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,116 +13,123 @@
 /// The bounds of the budget over all instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetBounds {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// The window over which both are counted.
+    /// The window over which requests and retries are counted.
     pub window: Duration,
-    /// Repeats allowed besides.
+    /// Additional retries allowed per window, independent of the number of requests.
     pub allowance: f64,
 }
 
-/// The part of the ratio that an instance spends, so that windows that do not line up stay within it.
+/// The share of the ratio that an instance uses, so that windows of different instances, which are
+/// not aligned, stay within it.
 const RATIO_SHARE: f64 = 0.8;
 
-/// How many more instances than are known share the allowance; some may just have been added.
-const UNKNOWN_INSTANCES: f64 = 1.35;
+/// Factor by which the known number of instances is overestimated when the allowance is divided;
+/// instances may just have been added.
+const UNKNOWN_INSTANCES_FACTOR: f64 = 1.35;
 
-/// How long an instance has not heard of more others than ever before until it spends its whole part of
-/// the allowance. After a loss of all while the store was slow, 79 instances knew of no other for 2.5 s,
-/// and each took the part of one among twelve: 1,012 repeats where 852 were allowed.
-const COUNT_TIME: Duration = Duration::from_secs(3);
+/// How long the largest known number of instances must be unchanged before an instance uses its
+/// whole share of the allowance. After all instances were lost while the store was slow, 79
+/// instances knew of no other for 2.5 s and each took the share of one in twelve: 1,012 retries
+/// where 852 were allowed.
+const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// What an instance spends of the allowance before: operators allow at least two repeats an instance.
-const PART_WHILE_COUNTING: f64 = 2.0;
+/// The allowance of an instance before that time has passed. Operators allow at least two retries
+/// per instance.
+const ALLOWANCE_WHILE_SETTLING: f64 = 2.0;
 
-/// The share of its part of the allowance that an instance spends in the first window after its start, one
-/// repeat at least. Its former process may have spent its part in the same window: where all instances are
-/// killed in the midst of trouble, 80 of them spent 160 before and 160 after, of 235.
-const SHARE_AFTER_START: f64 = 0.5;
+/// The fraction of its share of the allowance that an instance uses in the first window after its
+/// start, at least one retry. Its previous process may have used its share in the same window: when
+/// all instances are killed during a failure, 80 of them used 160 retries before and 160 after, of
+/// 235.
+const ALLOWANCE_SHARE_AFTER_START: f64 = 0.5;
 
-/// The fewest instances that are taken to share the allowance.
-const FEWEST_INSTANCES: f64 = 12.0;
+/// The minimum number of instances among which the allowance is divided.
+const MIN_INSTANCES: f64 = 12.0;
 
 #[derive(Debug, Clone, Default)]
 struct Counts {
     requests: VecDeque<Timestamp>,
-    repeats: VecDeque<Timestamp>,
+    retries: VecDeque<Timestamp>,
 }
 
-/// One instance's part of the budget.
+/// This instance's share of the budget.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     bounds: RetryBudgetBounds,
     instances: usize,
-    /// When it was first told of others: about when the instance started.
+    /// When the number of instances was first set, which is about the start of the instance.
     started: Option<Timestamp>,
-    /// The most instances that were known, and since when.
-    most: Option<(usize, Timestamp)>,
+    /// The largest number of instances seen so far, and when it was first seen.
+    peak: Option<(usize, Timestamp)>,
     services: BTreeMap<ServiceName, Counts>,
 }
 
 impl RetryBudget {
-    /// A budget within `bounds`.
+    /// Creates a budget with these bounds.
     pub fn new(bounds: RetryBudgetBounds) -> Self {
-        Self { bounds, instances: 0, started: None, most: None, services: BTreeMap::new() }
+        Self { bounds, instances: 0, started: None, peak: None, services: BTreeMap::new() }
     }
 
-    /// Puts new bounds in force; what was counted stays.
+    /// Replaces the bounds and keeps the counts.
     pub fn set_bounds(&mut self, bounds: RetryBudgetBounds) {
         self.bounds = bounds;
     }
 
-    /// Sets how many instances are known to share it at `now`, this one included.
+    /// Sets the number of known instances at `now`, this one included.
     pub fn set_instances(&mut self, now: Timestamp, instances: usize) {
         self.instances = instances;
         self.started.get_or_insert(now);
-        if self.most.is_none_or(|(most, _)| instances > most) {
-            self.most = Some((instances, now));
+        if self.peak.is_none_or(|(peak, _)| instances > peak) {
+            self.peak = Some((instances, now));
         }
     }
 
-    /// Counts a caller's request for `service`.
+    /// Counts a request of a caller for `service`.
     pub fn record_request(&mut self, now: Timestamp, service: &ServiceName) {
         let window = self.bounds.window;
         let counts = self.counts(service);
         counts.requests.push_back(now);
-        forget(&mut counts.requests, now, window);
+        drop_expired(&mut counts.requests, now, window);
     }
 
-    /// Takes one repeat for `service` out of the budget, if there is one.
+    /// Takes one retry for `service`, if the budget permits it.
     pub fn take(&mut self, now: Timestamp, service: &ServiceName) -> bool {
-        let part = self.allowance_part(now);
-        self.take_beside(now, service, part)
+        let allowance = self.allowance_share(now);
+        self.take_within(now, service, allowance)
     }
 
-    /// Takes one repeat that is not needed, but may help: none out of the allowance, which is for requests
-    /// that have failed. What is taken by the ratio is in proportion to an instance's own requests, so it
-    /// stays within the budget also where all instances have just started again.
+    /// Takes one retry for a hedged run, from the ratio only. The allowance is reserved for
+    /// requests that have failed. The ratio is proportional to the instance's own requests, so
+    /// hedging stays within the budget even if all instances have just restarted.
     pub fn take_for_hedge(&mut self, now: Timestamp, service: &ServiceName) -> bool {
-        self.take_beside(now, service, 0.0)
+        self.take_within(now, service, 0.0)
     }
 
-    /// Takes one repeat, if the ratio and this `part` of the allowance have room.
-    fn take_beside(&mut self, now: Timestamp, service: &ServiceName, part: f64) -> bool {
+    /// Takes one retry if the ratio plus this share of the allowance has room.
+    fn take_within(&mut self, now: Timestamp, service: &ServiceName, allowance: f64) -> bool {
         let RetryBudgetBounds { ratio, window, .. } = self.bounds;
         let counts = self.counts(service);
-        forget(&mut counts.requests, now, window);
-        forget(&mut counts.repeats, now, window);
-        let most = counts.requests.len() as f64 * ratio * RATIO_SHARE + part;
-        if counts.repeats.len() as f64 + 1.0 > most {
+        drop_expired(&mut counts.requests, now, window);
+        drop_expired(&mut counts.retries, now, window);
+        let max_retries = counts.requests.len() as f64 * ratio * RATIO_SHARE + allowance;
+        if counts.retries.len() as f64 + 1.0 > max_retries {
             return false;
         }
-        counts.repeats.push_back(now);
+        counts.retries.push_back(now);
         true
     }
 
-    fn allowance_part(&self, now: Timestamp) -> f64 {
-        let instances = (self.instances as f64 * UNKNOWN_INSTANCES).max(FEWEST_INSTANCES);
+    fn allowance_share(&self, now: Timestamp) -> f64 {
+        let instances = (self.instances as f64 * UNKNOWN_INSTANCES_FACTOR).max(MIN_INSTANCES);
         let part = (self.bounds.allowance / instances).floor();
-        let counts = self.most.is_none_or(|(_, since)| now.since(since) < COUNT_TIME);
+        let is_settling =
+            self.peak.is_none_or(|(_, since)| now.since(since) < MEMBERSHIP_SETTLE_TIME);
         let is_new = self.started.is_none_or(|at| now.since(at) < self.bounds.window);
-        let part = if is_new { (part * SHARE_AFTER_START).floor().max(1.0) } else { part };
-        if counts { part.min(PART_WHILE_COUNTING) } else { part }
+        let part =
+            if is_new { (part * ALLOWANCE_SHARE_AFTER_START).floor().max(1.0) } else { part };
+        if is_settling { part.min(ALLOWANCE_WHILE_SETTLING) } else { part }
     }
 
     fn counts(&mut self, service: &ServiceName) -> &mut Counts {
@@ -132,7 +140,7 @@
     }
 }
 
-fn forget(times: &mut VecDeque<Timestamp>, now: Timestamp, window: Duration) {
+fn drop_expired(times: &mut VecDeque<Timestamp>, now: Timestamp, window: Duration) {
     while times.front().is_some_and(|at| now.since(*at) > window) {
         times.pop_front();
     }
--- a/crates/ringbend-gateway/src/schedulers.rs
+++ b/crates/ringbend-gateway/src/schedulers.rs
@@ -1,32 +1,32 @@
-//! Which instances of a data centre schedule for all of it.
+//! Roles of the instances of a data centre, and which of them schedule.
 //!
 //! A few instances of each data centre know what runs on every engine and place the requests of all
-//! others there. Each placement is told among schedulers spread_seed: with some hundred instances, telling
-//! it to everyone takes more processor time than the requests themselves. With 300 instances the middle
-//! one takes 1.7 % of a core and 22 KB a second where it took 14 % and 240 KB, requests included.
-//! Nobody elects them: each instance schedules until it hears enough better placed ones that do. Where
-//! there are few instances all of them schedule.
+//! others there. Placements are exchanged among schedulers only: with a few hundred instances,
+//! sending them to all takes more processor time than the requests themselves. With 300 instances
+//! the median instance uses 1.7 % of a core and 22 KB per second, where it used 14 % and 240 KB,
+//! requests included. There is no election: each instance schedules until it hears enough
+//! schedulers that rank before it. In a small fleet all instances schedule.
 
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
 
-/// How many instances of a data centre schedule: two may be lost at once and one goes on.
+/// The number of schedulers per data centre: two may be lost at once and one remains.
 pub const SCHEDULERS_PER_DATA_CENTRE: usize = 3;
 
-/// What an instance does for the others of its data centre.
+/// The role of an instance in its data centre.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Role {
-    /// It has just started and does not know yet who else there is.
+    /// It has just started and does not yet know the other instances.
     #[default]
     Starting,
-    /// It places requests for those that do not.
+    /// It places requests for the members.
     Scheduler,
-    /// It leaves that to others.
+    /// It leaves scheduling to others.
     Member,
 }
 
-/// Where an instance stands among those of its data centre: more processor time first, then by
-/// address. The least schedules first.
+/// The rank of an instance in its data centre: more processor time first, then by address. The
+/// smallest ranks schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceRank {
     capacity: Reverse<u32>,
@@ -34,17 +34,17 @@
 }
 
 impl InstanceRank {
-    /// An instance at `address` that may use `capacity` thousandths of a core.
+    /// Creates the rank of an instance at `address` that may use `capacity` thousandths of a core.
     pub fn new(capacity: u32, address: SocketAddrV4) -> Self {
         Self { capacity: Reverse(capacity), address }
     }
 
-    /// The processor time that it may use, in thousandths of a core.
+    /// The processor time it may use, in thousandths of a core.
     pub fn capacity(&self) -> u32 {
         self.capacity.0
     }
 
-    /// Where it listens for others.
+    /// The address on which it listens for other instances.
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
--- a/crates/ringbend-gateway/src/signals.rs
+++ b/crates/ringbend-gateway/src/signals.rs
@@ -1,7 +1,7 @@
-//! What an endpoint signals about itself in the heads of its responses.
+//! Signals that an endpoint sends about itself in response headers.
 //!
-//! The adapter decodes each header once. Whether an endpoint may be sent to is decided from [`Limits`],
-//! [`Drains`] and [`Backoffs`], which keep what was signalled.
+//! The adapter decodes each header once. [`Limits`], [`Drains`] and [`Backoffs`] keep the signals
+//! and decide whether an endpoint may be used.
 //!
 //! [`Limits`]: crate::Limits
 //! [`Drains`]: crate::Drains
@@ -17,23 +17,23 @@
 /// One signal of a response head.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Signal<T> {
-    /// The response does not have it.
+    /// The header is absent.
     #[default]
     Absent,
-    /// It is there.
+    /// The header is present and valid.
     Present(T),
-    /// It is there and cannot be parsed. Earlier signals hold on.
+    /// The header is present but cannot be parsed. Earlier signals stay in force.
     Malformed(MalformedSignal),
 }
 
 /// Why a signal cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MalformedSignal {
-    /// It is no text.
+    /// The value is not text.
     NotText,
-    /// It is neither yes nor no.
+    /// The value is neither yes nor no.
     NotAFlag,
-    /// It is no delay.
+    /// The value is not a delay.
     Delay(ParseDecimalError),
 }
 
@@ -56,14 +56,14 @@
 /// All signals of one response head.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EndpointSignals {
-    /// How much the endpoint takes from all instances together.
+    /// The rate that the endpoint accepts from all instances together.
     pub limit: LimitSignal,
     /// Whether it announces that it is draining.
     pub draining: Signal<Draining>,
-    /// How long this instance is to send it nothing, if it rejected the request for overload.
+    /// How long this instance must not send to it, if it rejected the request because of overload.
     pub backoff: Signal<RetryAfter>,
-    /// Whether it states that it did not take the request.
+    /// Whether it states that it did not accept the request.
     pub rejected: bool,
-    /// Headers of the endpoint protocol that this version does not know, by name.
+    /// Names of headers of the endpoint protocol that this version does not know.
     pub unknown: SmallVec<[Box<str>; 1]>,
 }
--- a/crates/ringbend-gateway/src/snapshot.rs
+++ b/crates/ringbend-gateway/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration, as decoded from whatever an operator writes.
+//! One version of the configuration, decoded from the operator's format.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,7 +9,8 @@
 
 use crate::engine::EngineProfile;
 
-/// The number of a configuration. Later ones are larger, in uneven steps.
+/// The version number of a configuration. Later versions have larger numbers, not necessarily
+/// consecutive.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigVersion(pub u64);
 
@@ -24,9 +25,9 @@
 pub enum RepeatPolicy {
     /// Any number of times.
     Idempotent,
-    /// Once at most.
+    /// At most once.
     AtMostOnce,
-    /// An event stream that a second run may continue after the last delivered event.
+    /// An event stream that a second run may resume after the last delivered event.
     Resumable,
 }
 
@@ -37,63 +38,63 @@
     }
 }
 
-/// A service's part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its weight against the sum of the route's weights.
+    /// Its weight, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and within which bounds.
+/// The destination and the limits of requests with one host and path prefix.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The name given by the operator.
     pub name: Arc<str>,
     /// The services that share its requests.
     pub split: SmallVec<[WeightedService; 2]>,
     /// How often a request may be run.
     pub repeat: RepeatPolicy,
-    /// Whether answers are event streams.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// The longest a caller is kept waiting for the end of the answer.
+    /// The maximum time until the end of the response.
     pub timeout: Duration,
-    /// The time within which an answer, or a stream's first event, is worth most.
+    /// The target latency of a response, or of a stream's first event.
     pub aim: Duration,
-    /// The longest pause between events that counts as on time.
+    /// The longest gap between events that counts as on time.
     pub gap_aim: Option<Duration>,
-    /// Rank of its requests; zero goes first.
+    /// The priority of its requests; zero is the highest.
     pub priority: u8,
-    /// How many endpoints one request may be run on.
+    /// The maximum number of endpoints on which one request may run.
     pub max_runs: u8,
     /// Whether requests need no key.
     pub public: bool,
 }
 
-/// A service that routes lead to.
+/// A service that routes refer to.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// How its engines read and write; none for a plain service.
+    /// The performance profile of its engines; `None` for a plain service.
     pub engine: Option<EngineProfile>,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The longest body, in bytes.
+    /// The maximum body size in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// The maximum time for a request head to arrive.
     pub head_time: Duration,
-    /// How long a kept connection may be idle.
+    /// The maximum idle time of a keep-alive connection.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        // Used until a configuration names limits of its own.
+        // Used until a configuration sets its own limits.
         Self {
             body_bytes: 4 << 20,
             head_time: Duration::from_secs(3),
@@ -102,19 +103,19 @@
     }
 }
 
-/// The account that a key belongs to.
+/// The client account of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Account {
-    /// Its name.
+    /// The id of the account.
     pub id: ClientAccountId,
-    /// Its rank, which goes before the route's.
+    /// Its priority, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// One route as an operator lists it.
+/// One route as listed by an operator.
 #[derive(Debug, Clone)]
 pub struct RouteEntry {
-    /// The host that requests name.
+    /// The host of the requests.
     pub host: Arc<str>,
     /// The path prefix; begins and ends with a slash.
     pub prefix: Arc<str>,
@@ -122,25 +123,25 @@
     pub route: Route,
 }
 
-/// The parts of a configuration, before it is indexed.
+/// The parts of a configuration before indexing.
 #[derive(Debug, Clone, Default)]
 pub struct SnapshotParts {
-    /// Its version.
+    /// The version of the configuration.
     pub version: ConfigVersion,
     /// All routes.
     pub routes: Vec<RouteEntry>,
     /// All services.
     pub services: Vec<Service>,
-    /// Each key with its account; none when requests need no key.
+    /// The account of each key; `None` if requests need no key.
     pub keys: Option<Vec<(Arc<str>, Account)>>,
     /// Limits on callers.
     pub limits: CallerLimits,
 }
 
-/// One version of the configuration, indexed for look-ups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    /// Its version.
+    /// The version of the configuration.
     pub version: ConfigVersion,
     /// Limits on callers.
     pub limits: CallerLimits,
@@ -166,16 +167,16 @@
         }
     }
 
-    /// The route of a host with the longest prefix that begins `path`. A port in `host` is ignored.
+    /// The route of a host with the longest matching path prefix. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(name.to_ascii_lowercase().as_str())?;
-        // Prefixes end with a slash, so only the cuts after a slash can match.
+        // Prefixes end with a slash, so only the substrings up to a slash can match.
         let cuts = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
         cuts.map(|(at, _)| &path[..=at]).find_map(|prefix| routes.get(prefix))
     }
 
-    /// A service by name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.get(name)
     }
@@ -185,19 +186,19 @@
         self.keys.is_some()
     }
 
-    /// The account that holds `key`.
+    /// The client account of `key`.
     pub fn account(&self, key: &str) -> Option<&Account> {
         self.keys.as_ref()?.get(key)
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(HashMap::len).sum()
     }
 }
 
 impl Route {
-    /// The service of a request, drawn by weight; `draw` lies in `0.0..1.0`.
+    /// Selects the service of a request by weight; `draw` is in `0.0..1.0`.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.split.iter().map(|s| s.weight).sum();
         let mut left = draw * f64::from(total);
--- a/crates/ringbend-gateway/src/store_readers.rs
+++ b/crates/ringbend-gateway/src/store_readers.rs
@@ -1,42 +1,45 @@
-//! Which instances read the watched tables from the store, and which hear of them from others.
+//! Selects the instances that read the watched tables from the store; the others receive the tables
+//! from them.
 //!
-//! One reader is enough for a fleet. Nobody elects it: an instance reads when its copy has not been
-//! proved current for a while, and what it reads proves the copies of all others, which then have no
-//! reason to read. Of several readers the one with the smallest start goes on. Where instances do
-//! not reach each other, or a reader is lost, copies age and more instances read.
+//! One reader suffices for a fleet, and there is no election: an instance reads when its copy has
+//! not been proved current for a while, and its reads prove the copies of all others, which then
+//! have no reason to read. Of several readers the one with the smallest incarnation continues. If
+//! instances are partitioned or a reader is lost, copies age and more instances read.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use ringbend_types::Timestamp;
 
-/// A copy that is older than this is read again, if nobody else proved it meanwhile; drawn between
-/// the two so that not all begin at once. A reader proves copies once a second.
+/// The age from which a copy is read from the store again, unless another instance has proved it
+/// meanwhile; drawn from this range so that not all instances start at once. A reader proves copies
+/// once per second.
 pub const READ_AGE_MS: std::ops::Range<u64> = 1_500..2_100;
 
-/// The same for an instance that does not schedule: what it reads takes longer to reach all others, so
-/// it leaves reading to one that does, while a copy of that age still lets requests in.
+/// The same for an instance that does not schedule. What it reads takes longer to reach all others,
+/// so it leaves reading to schedulers while a copy of that age still admits requests.
 pub const MEMBER_READ_AGE_MS: std::ops::Range<u64> = 2_200..2_600;
 
 /// A moment on this instance's clock that is no later than a moment on a peer's clock.
 #[derive(Debug, Clone, Copy)]
-struct Pairing {
+struct ClockPairing {
     own: Timestamp,
     peers: Timestamp,
 }
 
-/// This instance's part in reading, and its peers' clocks.
+/// Whether this instance reads, and the clocks of its peers.
 #[derive(Debug, Clone)]
 pub struct StoreReaders {
     own_start: u64,
     reads: bool,
-    clocks: BTreeMap<u64, Pairing>,
-    /// When this instance's copy was last proved, and by whose reading.
+    clocks: BTreeMap<u64, ClockPairing>,
+    /// When this instance's copy was last proved, and by the read of which incarnation.
     proved: Option<(Timestamp, u64)>,
 }
 
 impl StoreReaders {
-    /// An instance that does not read until its copy has not been proved current for a while.
+    /// Creates an instance that does not read until its copy has not been proved current for a
+    /// while.
     pub fn new(own_start: u64) -> Self {
         Self { own_start, reads: false, clocks: BTreeMap::new(), proved: None }
     }
@@ -46,13 +49,13 @@
         self.reads
     }
 
-    /// Begins to read, as the copy has not been proved for too long.
+    /// Starts reading, because the copy has not been proved current for too long.
     pub fn begin(&mut self) {
         self.reads = true;
     }
 
-    /// Stops reading if the store is not reached since `lost_at` and another instance has proved the
-    /// copy later, at `proved_at`. Returns whether it stops.
+    /// Stops reading if the store has been unreachable since `lost_at` and another instance has
+    /// proved the copy later, at `proved_at`. Returns whether it stops.
     pub fn yield_to_others(
         &mut self,
         lost_at: Option<Timestamp>,
@@ -66,19 +69,19 @@
         stops
     }
 
-    /// Notes that the instance that started as `start` answered, at `peers` on its clock, a greeting
-    /// that was sent at `own` on ours.
+    /// Pairs the clocks: incarnation `start` answered, at `peers` on its clock, a greeting that was
+    /// sent at `own` on ours.
     pub fn pair_clocks(&mut self, start: u64, own: Timestamp, peers: Timestamp) {
-        self.clocks.insert(start, Pairing { own, peers });
+        self.clocks.insert(start, ClockPairing { own, peers });
     }
 
-    /// Forgets the clock of a start that has ended.
+    /// Drops the clock of an incarnation that has ended.
     pub fn forget(&mut self, start: u64) {
         self.clocks.remove(&start);
     }
 
-    /// A moment on our clock that is no later than `at` on the peer's. None for a clock unknown, and
-    /// for a moment that our clock cannot tell as it lies before its zero: placed at zero it would
+    /// Converts `at` on a peer's clock to a moment on our clock that is no later. Returns `None`
+    /// for an unknown clock and for a moment before the zero of our clock: clamped to zero it would
     /// be later than it was.
     pub fn to_own_clock(&self, start: u64, at: Timestamp) -> Option<Timestamp> {
         let pairing = self.clocks.get(&start)?;
@@ -86,27 +89,27 @@
             return Some(pairing.own + at.since(pairing.peers));
         }
         let before = pairing.peers.since(at);
-        let is_told = before <= pairing.own.since(Timestamp::default());
-        is_told.then(|| pairing.own - before)
+        let is_representable = before <= pairing.own.since(Timestamp::default());
+        is_representable.then(|| pairing.own - before)
     }
 
-    /// Notes that the reading of the instance that started as `start`, this one or another, proved
-    /// this one's copy at `at`.
+    /// Records that a read by incarnation `start`, this one or another, proved this instance's copy
+    /// at `at`.
     pub fn proved_by(&mut self, start: u64, at: Timestamp) {
         if self.proved.is_none_or(|(before, _)| at > before) {
             self.proved = Some((at, start));
         }
     }
 
-    /// The start of the instance whose reading proved this one's copy last, if another one's did. The
-    /// word of an earlier reader must not be told beside a later proof: it may have ended, and whoever
-    /// reads now would stop for it.
+    /// The incarnation whose read last proved this instance's copy, if it is another one. An
+    /// earlier reader must not be named beside a later proof: it may have ended, and the current
+    /// reader would stop because of it.
     pub fn reader(&self) -> Option<u64> {
         self.proved.map(|(_, start)| start).filter(|start| *start != self.own_start)
     }
 
-    /// Notes that another instance reads and proved this one's copy `age` ago. Returns whether this
-    /// one stops reading.
+    /// Records that another instance reads and proved this one's copy `age` ago. Returns whether
+    /// this one stops reading.
     pub fn yield_to_reader(&mut self, start: u64, age: Duration) -> bool {
         let fresh = age < Duration::from_millis(READ_AGE_MS.start);
         let stops = self.reads && start < self.own_start && fresh;
--- a/crates/ringbend-gateway/src/suspect_work.rs
+++ b/crates/ringbend-gateway/src/suspect_work.rs
@@ -1,4 +1,4 @@
-//! Where suspects run, and where they ran a moment ago.
+//! The endpoints where suspects run or recently ran.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,26 +11,26 @@
 /// How long after a suspect's run on an endpoint a crash of that endpoint is still attributed to it. A crash follows
 /// its cause within 100 ms, even if the request was cancelled, and is detected and propagated within another 100 ms.
 /// Without this delay an unrelated request that arrives in between would get the strike.
-const AFTERMATH: Duration = Duration::from_millis(250);
+const ATTRIBUTION_TIME: Duration = Duration::from_millis(250);
 
-/// A run of a suspect that is over.
+/// A run of a suspect that has ended.
 #[derive(Debug, Clone)]
-struct Left {
+struct RecentRun {
     suspect: Fingerprint,
     on: SmallVec<[EndpointId; 4]>,
     until: Timestamp,
 }
 
-/// The open work of suspects, and the runs of them that have just ended.
+/// The open work of suspects, and their runs that have just ended.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct SuspectWork {
-    /// Few, where all open work is some ten thousand.
+    /// A small subset of all open work, which is about ten thousand entries.
     open: BTreeSet<WorkId>,
-    left: Vec<Left>,
+    recent: Vec<RecentRun>,
 }
 
 impl SuspectWork {
-    /// Notes that open work belongs to a suspect.
+    /// Marks open work as belonging to a suspect.
     pub(crate) fn begin(&mut self, id: WorkId) {
         self.open.insert(id);
     }
@@ -40,7 +40,7 @@
         self.open.iter()
     }
 
-    /// Notes that work has ended that may belong to a suspect.
+    /// Records that work has ended. It may belong to a suspect.
     pub(crate) fn end<'a>(
         &mut self,
         now: Timestamp,
@@ -50,17 +50,22 @@
     ) {
         self.open.remove(&id);
         let Some(suspect) = suspect else { return };
-        self.left.retain(|left| left.until > now);
-        self.left.push(Left { suspect, on: on.cloned().collect(), until: now + AFTERMATH });
+        self.recent.retain(|recent| recent.until > now);
+        self.recent.push(RecentRun {
+            suspect,
+            on: on.cloned().collect(),
+            until: now + ATTRIBUTION_TIME,
+        });
     }
 
     /// The suspects whose runs on this endpoint have just ended.
-    pub(crate) fn left(
+    pub(crate) fn recent(
         &self,
         now: Timestamp,
         endpoint: &EndpointId,
     ) -> impl Iterator<Item = Fingerprint> {
-        let was_there = move |left: &&Left| left.until > now && left.on.contains(endpoint);
-        self.left.iter().filter(was_there).map(|left| left.suspect)
+        let was_there =
+            move |recent: &&RecentRun| recent.until > now && recent.on.contains(endpoint);
+        self.recent.iter().filter(was_there).map(|recent| recent.suspect)
     }
 }
--- a/crates/ringbend-gateway/src/waiting_prompt.rs
+++ b/crates/ringbend-gateway/src/waiting_prompt.rs
@@ -1,4 +1,4 @@
-//! A long prompt that waits, as instances tell each other of it.
+//! A waiting long prompt, as exchanged between instances.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 pub struct WaitingPrompt {
     /// The service whose engines it waits for.
     pub service: ServiceName,
-    /// How long one engine would read it.
+    /// The time in which one engine would read it.
     pub read: Duration,
     /// When its request arrived.
     pub since: Timestamp,
     /// When its first event is due.
     pub first_by: Timestamp,
-    /// When its caller leaves if no event has come.
+    /// When its caller disconnects if no event has arrived.
     pub until: Timestamp,
 }
--- a/crates/ringbend-gateway/src/weights.rs
+++ b/crates/ringbend-gateway/src/weights.rs
@@ -1,58 +1,63 @@
-//! What counts how much when a request is placed on engines.
+//! Weights of the cost function for placement on engines.
 
 use serde::{Deserialize, Serialize};
 
-/// Weights of placement. Costs are in stakes: one is what is lost if a request with a prompt of
-/// 5,000 tokens is late. The defaults come from runs on two deployments; see
-/// `docs/design/placement.md`.
+/// Weights of the cost function for placement. Costs are in stakes: one stake is the loss if a
+/// request with a prompt of 5,000 tokens is late. The defaults were derived from runs on two
+/// deployments; see `docs/design/placement.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlacementWeights {
-    /// How the stake grows with the prompt, as a power of its tokens.
+    /// Growth of the stake with the prompt length, as an exponent of its tokens.
     pub stake_power: f64,
-    /// Lateness is counted from this share of a limit on.
+    /// The share of a limit from which lateness is counted.
     pub late_from: f64,
-    /// Lateness is counted in full from this share of a limit on.
+    /// The share of a limit from which lateness is counted in full.
     pub late_at: f64,
-    /// What the time to the first event costs even if on time, at its limit.
+    /// Cost of a time to the first event that equals its limit, even if on time.
     pub first: f64,
-    /// What it costs to delay a request that waits for its first event by all the time it has left.
+    /// Cost of delaying a request that waits for its first event by all the time it has left.
     pub delay: f64,
-    /// Prompts that one engine reads in this many milliseconds are not split: the first event waits
-    /// for the last of several passes, which takes about as long. Over 30 ms it is worth 0.001 to 0.006
-    /// of a day on three deployments, five days each with two seeds.
+    /// A prompt that one engine reads within this many milliseconds is not split, because the first
+    /// event waits for the last of several passes, which takes about as long. Over 30 ms the gain
+    /// is 0.001 to 0.006 of a day on three deployments, five days each with two seeds.
     pub whole_ms: f64,
-    /// What each helper costs: one more engine on which the request depends.
+    /// Cost of each helper: one more engine on which the request depends.
     pub helper: f64,
-    /// What it costs to put a tight request on an engine that is not kept for them.
+    /// Cost of placing a latency-sensitive request on an engine that is not reserved for such
+    /// requests.
     pub open: f64,
     /// A prompt that one engine reads for longer than this many milliseconds is long: it waits for
     /// its turn and is kept off quiet engines.
     pub long_ms: f64,
     /// How long each engine should read of a long prompt, in milliseconds.
     pub part_ms: f64,
-    /// An engine that has this many milliseconds left to read counts as free for the next prompt.
+    /// An engine with at most this many milliseconds left to read counts as free for the next
+    /// prompt.
     pub free_ms: f64,
-    /// A long prompt waits while the cheapest placement would have an engine read it for longer than
-    /// this many milliseconds: passes there last as long as the reading, and whatever comes to that
-    /// engine meanwhile waits for their end. Worth 0.014 to 0.030 of a day on three deployments, five
-    /// days each with two seeds; 1,500 and 4,000 are worth 0.007 less on one of them with six seeds,
-    /// which is what runs differ by.
+    /// A long prompt waits while the cheapest placement would make an engine read it for longer
+    /// than this many milliseconds: passes there last as long as the prefill, and requests that
+    /// reach the engine meanwhile wait for their end. The gain is 0.014 to 0.030 of a day on three
+    /// deployments, five days each with two seeds; 1,500 and 4,000 gain 0.007 less on one of them
+    /// with six seeds, which is within the variance between runs.
     pub longest_ms: f64,
-    /// How many requests with short prompts are expected soon for each that is open.
+    /// The number of requests with short prompts expected soon per open one.
     pub quiet_growth: f64,
-    /// Such requests that are expected beside those.
+    /// The number of such requests expected in addition.
     pub quiet_spare: f64,
-    /// The share of an engine's places that tight requests fill before the next one is taken.
+    /// The share of an engine's slots that latency-sensitive requests fill before the next engine
+    /// is used.
     pub full_share: f64,
-    /// What 100 ms of reading cost for each tight request, beside what it makes late now.
+    /// Cost of 100 ms of prefill per latency-sensitive request on the engine, in addition to the
+    /// lateness it causes now.
     pub read: f64,
-    /// A long prompt waits while the cheapest placement would cost others more than this share of its own
-    /// stake, if it has time to.
+    /// A long prompt waits while the cheapest placement would cost others more than this share of
+    /// its own stake, if it has time to wait.
     pub dear: f64,
-    /// The time that such a prompt keeps in hand, in milliseconds, as later placements may take longer.
+    /// The time that such a prompt keeps in reserve, in milliseconds, as later placements may take
+    /// longer.
     pub spare_ms: f64,
-    /// What it costs to hold all of a prompt's memory on helpers.
+    /// Cost of holding all of a prompt's memory on helpers.
     pub hold: f64,
 }
 
