--- a/crates/ringbend-gateway/benches/decisions.rs
+++ b/crates/ringbend-gateway/benches/decisions.rs
@@ -1,7 +1,8 @@
-//! What one decision costs beside how many engines: `cargo bench -p ringbend-gateway`.
+//! Cost of one decision by the number of engines: `cargo bench -p ringbend-gateway`.
 //!
-//! Half of the engines are kept for short prompts and write for six each; a tenth of the others read a
-//! long one. Sizes are those of today's deployments, of the large one and of the one built towards.
+//! Half of the engines are reserved for short prompts and decode for six each; a tenth of the
+//! others read a long one. The sizes are those of the current deployments, of the large one and of
+//! the planned one.
 
 #![allow(missing_docs)]
 
@@ -14,13 +15,13 @@
 };
 use support::{Scene, at, endpoint, ms, profile, service, work, work_id};
 
-/// Engines of a service.
+/// The number of engines of a service.
 const ENGINES: [usize; 3] = [30, 150, 850];
 
-/// Short prompts that each of half of the engines writes for.
+/// Decoding requests per engine on half of the engines.
 const WRITERS: usize = 6;
 
-/// Long prompts that wait for their turn.
+/// Waiting long prompts.
 const WAITING: u64 = 8;
 
 fn busy(engines: usize) -> Scene {
--- a/crates/ringbend-gateway/tests/backoffs.rs
+++ b/crates/ringbend-gateway/tests/backoffs.rs
@@ -1,4 +1,4 @@
-//! Delays that endpoints ask of one instance.
+//! Backoff delays that endpoints request from one instance.
 
 mod support;
 
@@ -11,9 +11,9 @@
     text.parse().unwrap()
 }
 
-/// Guards against a shorter delay, or a success in between, that ends a longer one.
+/// Guards against a shorter delay, or a success in between, that ends a longer delay.
 #[test]
-fn longest_end_holds() {
+fn latest_end_of_several_delays_applies() {
     let mut backoffs = Backoffs::default();
     assert!(backoffs.begin(at(0), &endpoint(1), delay("3")));
     assert!(!backoffs.begin(at(100), &endpoint(1), delay("0.5")));
@@ -23,9 +23,9 @@
     assert_eq!(backoffs.state(at(0), &endpoint(2)), BackoffState::Open);
 }
 
-/// Guards against a crowd at the end of a delay.
+/// Guards against a burst of requests at the end of a delay.
 #[test]
-fn one_request_at_a_time_is_let_through_after_the_end_until_one_is_taken() {
+fn one_probe_at_a_time_is_sent_after_the_delay_until_one_is_accepted() {
     let mut backoffs = Backoffs::default();
     backoffs.begin(at(0), &endpoint(1), delay("1"));
     backoffs.sending(at(1_500), &endpoint(1));
@@ -40,7 +40,7 @@
 
 /// Guards against a delay that outlives the process that asked for it.
 #[test]
-fn delay_holds_for_its_process_alone() {
+fn delay_applies_only_to_its_process() {
     let started = |ms| Endpoint { start: Some(EndpointStart(ms)), ..endpoint(1) };
     let mut backoffs = Backoffs::default();
     backoffs.begin(at(0), &started(100), delay("86400"));
@@ -52,7 +52,7 @@
     assert_eq!(backoffs.state(at(2_001), &started(200)), BackoffState::Open);
 }
 
-/// Guards against a table of delays that grows without bound.
+/// Guards against an unbounded table of delays.
 #[test]
 fn delays_are_bounded_and_old_ones_are_dropped() {
     let mut backoffs = Backoffs::default();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn delay_is_a_number_of_seconds_that_is_cut_to_an_hour() {
+fn delay_is_a_number_of_seconds_capped_at_an_hour() {
     assert_eq!(delay("1.5").delay(), ms(1_500));
     assert_eq!(delay("0").delay(), ms(0));
     assert_eq!(delay("86400").delay(), RetryAfter::MAX);
@@ -80,7 +80,7 @@
 }
 
 quickcheck! {
-    /// Guards against a response that shortens a delay, in any order of responses.
+    /// Guards against a response that shortens a delay, whatever the order of responses.
     fn nothing_is_sent_before_the_latest_end(delays: Vec<(u16, u16)>) -> bool {
         let mut backoffs = Backoffs::default();
         let mut now = 0;
--- a/crates/ringbend-gateway/tests/cold_start.rs
+++ b/crates/ringbend-gateway/tests/cold_start.rs
@@ -1,8 +1,9 @@
-//! A crowd of callers at instances that have just started: their books are empty, and at first they
-//! do not hear each other. Answers the seconds after all instances were lost: whoever was cut comes
-//! back within a tenth of a second.
+//! A burst of callers at instances that have just started, whose load tables are empty and which do
+//! not hear each other at first. This is the situation after all instances were lost: disconnected
+//! callers return within a tenth of a second.
 //!
-//! Virtual time; instances tell each other of placements after `TRIP`, once they hear each other.
+//! Runs in virtual time. Once instances hear each other, they report placements with a delay of
+//! `TRIP`.
 
 mod support;
 
@@ -15,62 +16,64 @@
 use ringbend_types::{EndpointId, Timestamp};
 use support::{Scene, at, ms, profile};
 
-/// One way between instances, with the sender's and the receiver's turn.
-const TRIP: Duration = ms(2);
+/// Delay of a message between instances, including the processing time of sender and receiver.
+const MESSAGE_DELAY: Duration = ms(2);
 
-/// A quick question; an engine of the test's profile reads it in 21 ms.
-const QUICK: Demand = Demand { prompt_tokens: 5_000, answer_tokens: 1_000 };
+/// A short prompt; an engine of the test profile reads it in 21 ms.
+const SHORT_PROMPT: Demand = Demand { prompt_tokens: 5_000, answer_tokens: 1_000 };
 
 /// When its first event is due.
-const QUICK_AIM: Duration = ms(300);
+const SHORT_PROMPT_TARGET: Duration = ms(300);
 
-/// A prompt that was placed, on its way to the other instances.
-struct Told {
+/// A placement on its way to the other instances.
+struct PlacedMessage {
     at: Timestamp,
     from: usize,
     id: WorkId,
     work: Work,
 }
 
-/// Instances that start together before the same engines.
-struct Start {
+/// Instances that start together and share the same engines.
+struct Fleet {
     instances: Vec<Scene>,
-    /// From when on instances hear each other.
+    /// When instances start to hear each other.
     heard_from: Timestamp,
-    told: Vec<Told>,
+    in_transit: Vec<PlacedMessage>,
     rng: ChaCha8Rng,
     sequence: u64,
 }
 
-impl Start {
+impl Fleet {
     fn new(instances: usize, engines: usize, heard_from: Timestamp, seed: u64) -> Self {
         Self {
             instances: (0..instances).map(|_| Scene::new(engines)).collect(),
             heard_from,
-            told: Vec::new(),
+            in_transit: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             sequence: 0,
         }
     }
 
-    /// Delivers what has arrived by `now`. What was placed before instances heard each other is told
-    /// when they greet.
+    /// Delivers the messages that have arrived by `now`. Earlier placements are reported when
+    /// instances greet each other.
     fn deliver(&mut self, now: Timestamp) {
-        let due = |told: &Told| told.at.max(self.heard_from) + TRIP <= now;
-        let (due, rest): (Vec<Told>, Vec<Told>) = self.told.drain(..).partition(due);
-        self.told = rest;
-        for told in due {
-            let others = self.instances.iter_mut().enumerate().filter(|(at, _)| *at != told.from);
-            others.for_each(|(_, scene)| scene.load.place(now, told.id, told.work.clone()));
+        let due = |message: &PlacedMessage| message.at.max(self.heard_from) + MESSAGE_DELAY <= now;
+        let (due, rest): (Vec<PlacedMessage>, Vec<PlacedMessage>) =
+            self.in_transit.drain(..).partition(due);
+        self.in_transit = rest;
+        for message in due {
+            let others =
+                self.instances.iter_mut().enumerate().filter(|(at, _)| *at != message.from);
+            others.for_each(|(_, scene)| scene.load.place(now, message.id, message.work.clone()));
         }
     }
 
     fn arrive(&mut self, now: Timestamp, demand: Demand, aim: Duration) -> Placement {
         self.deliver(now);
         let from = self.rng.random_range(0..self.instances.len());
-        let alone = (now < self.heard_from).then(|| self.rng.random());
+        let seed_if_alone = (now < self.heard_from).then(|| self.rng.random());
         let scene = &mut self.instances[from];
-        (scene.now, scene.spread_seed) = (now, alone);
+        (scene.now, scene.spread_seed) = (now, seed_if_alone);
         scene.load.advance(now);
         let goal = PlacementGoal { demand, first_in: aim, gap: ms(250) };
         let placement =
@@ -79,7 +82,7 @@
         let id = WorkId { instance: from as u64, sequence: self.sequence };
         let work = work(scene, demand, aim, &placement);
         scene.load.place(now, id, work.clone());
-        self.told.push(Told { at: now, from, id, work });
+        self.in_transit.push(PlacedMessage { at: now, from, id, work });
         placement
     }
 }
@@ -100,29 +103,29 @@
     }
 }
 
-/// Who meets: so many instances, engines and callers.
+/// The numbers of instances, engines and callers.
 #[derive(Debug, Clone, Copy)]
-struct Crowd {
+struct Burst {
     instances: usize,
     engines: usize,
     callers: u32,
 }
 
-const SMALL: Crowd = Crowd { instances: 9, engines: 18, callers: 100 };
+const SMALL: Burst = Burst { instances: 9, engines: 18, callers: 100 };
 
-const LARGE: Crowd = Crowd { instances: 76, engines: 60, callers: 400 };
+const LARGE: Burst = Burst { instances: 76, engines: 60, callers: 400 };
 
-/// How long a crowd takes to arrive.
-const ARRIVES_IN: Duration = ms(100);
+/// The time within which all callers arrive.
+const ARRIVAL_TIME: Duration = ms(100);
 
-/// The most quick questions that one engine got, over eight seeds.
-fn most_on_one_engine(crowd: Crowd, heard_from: Timestamp) -> u32 {
+/// The maximum number of short prompts on one engine, over eight seeds.
+fn most_on_one_engine(burst: Burst, heard_from: Timestamp) -> u32 {
     let of_seed = |seed| {
-        let mut start = Start::new(crowd.instances, crowd.engines, heard_from, seed);
+        let mut fleet = Fleet::new(burst.instances, burst.engines, heard_from, seed);
         let mut counts = BTreeMap::<EndpointId, u32>::new();
-        for n in 0..crowd.callers {
-            let now = at(1) + ARRIVES_IN * n / crowd.callers;
-            let placement = start.arrive(now, QUICK, QUICK_AIM);
+        for n in 0..burst.callers {
+            let now = at(1) + ARRIVAL_TIME * n / burst.callers;
+            let placement = fleet.arrive(now, SHORT_PROMPT, SHORT_PROMPT_TARGET);
             *counts.entry(placement.lead).or_default() += 1;
         }
         counts.into_values().max().unwrap_or(0)
@@ -133,24 +136,24 @@
 /// The mean is 5.6 of 100 and 6.7 of 400. The many instances place five requests each: by chance
 /// alone one engine of sixty gets more than twice the mean.
 #[test]
-fn a_crowd_at_instances_that_do_not_hear_each_other_spreads_over_the_engines() {
+fn a_burst_at_instances_that_do_not_hear_each_other_spreads_over_the_engines() {
     let never = at(60_000);
-    let most = [SMALL, LARGE].map(|crowd| most_on_one_engine(crowd, never));
+    let most = [SMALL, LARGE].map(|burst| most_on_one_engine(burst, never));
     assert!(most[0] <= 11 && most[1] <= 14, "{most:?}");
 }
 
-/// On one engine a prompt of 17 s of reading takes as long.
+/// On a single engine a prompt of 17 s of prefill would take 17 s.
 #[test]
 fn an_instance_that_hears_no_other_splits_a_long_prompt_among_idle_engines() {
-    let mut start = Start::new(1, 18, at(60_000), 1);
+    let mut fleet = Fleet::new(1, 18, at(60_000), 1);
     let demand = Demand { prompt_tokens: 500_000, answer_tokens: 500 };
-    let placement = start.arrive(at(1), demand, ms(3_000));
+    let placement = fleet.arrive(at(1), demand, ms(3_000));
     assert!(placement.helpers.len() >= 5, "{} helpers", placement.helpers.len());
 }
 
-/// An engine reads 14 of them within the aim.
+/// An engine reads 14 of them within the target latency.
 #[test]
-fn a_crowd_that_arrives_as_instances_begin_to_hear_each_other_fits_the_engines() {
-    let most = [SMALL, LARGE].map(|crowd| most_on_one_engine(crowd, at(30)));
+fn a_burst_that_arrives_as_instances_start_to_hear_each_other_fits_the_engines() {
+    let most = [SMALL, LARGE].map(|burst| most_on_one_engine(burst, at(30)));
     assert!(most[0] <= 12 && most[1] <= 13, "{most:?}");
 }
--- a/crates/ringbend-gateway/tests/copy_freshness.rs
+++ b/crates/ringbend-gateway/tests/copy_freshness.rs
@@ -1,8 +1,8 @@
-//! What instances tell each other of how current their copies are, over restarts: a copy never
-//! counts as proved at a moment at which the table already held a later version.
+//! Freshness of copies as exchanged between instances, across restarts: a copy must never count as
+//! proved current at a moment at which the table already held a later version.
 //!
-//! The world here has one true time. Each instance has its own clock, which shows `at_start` when
-//! the instance starts, and messages that are captured when sent and taken in later, or never.
+//! The simulation has one true time. Each instance has its own clock, which shows `at_start` when
+//! the instance starts. Messages are captured when they are sent, and are delivered later or never.
 
 mod support;
 
@@ -14,14 +14,14 @@
 use ringbend_types::Timestamp;
 use support::{at, ms, snapshot};
 
-/// How far the store's clock is ahead of the true time.
+/// The offset of the store's clock from the true time.
 const STORE_AHEAD: Duration = ms(70_000);
 
 struct Instance {
     start: u64,
     /// The true time at which it started.
     started: Timestamp,
-    /// What its clock showed then.
+    /// The reading of its clock at that time.
     at_start: Timestamp,
     replica: Replica,
     readers: StoreReaders,
@@ -37,51 +37,52 @@
         self.at_start + now.since(self.started)
     }
 
-    /// The true time of a moment on this instance's clock, in microseconds; it may lie before zero.
+    /// Converts a moment on this instance's clock to the true time in microseconds, which may be
+    /// negative.
     fn true_time(&self, own: Timestamp) -> i64 {
         own.0 as i64 - self.at_start.0 as i64 + self.started.0 as i64
     }
 }
 
-/// What is under way between instances, or from the store.
+/// A message in transit between instances, or from the store.
 #[derive(Clone, Copy)]
 enum Message {
-    /// The store's answer to a call that was sent at `sent` on the reader's clock.
+    /// The store's response to a call that was sent at `sent` on the reader's clock.
     Answer { to: usize, start: u64, version: u64, proof: Proof, paired: bool },
-    /// A configuration handed on.
+    /// A configuration forwarded by another instance.
     Copy { to: usize, version: u64 },
-    /// How current the sender's copy is.
-    Currency { to: usize, start: u64, version: u64, proved_at: Timestamp },
-    /// An answer to a greeting: both clocks.
+    /// The freshness of the sender's copy.
+    Freshness { to: usize, start: u64, version: u64, proved_at: Timestamp },
+    /// The answer to a greeting, with both clocks.
     Pairing { to: usize, to_start: u64, start: u64, own: Timestamp, peers: Timestamp },
 }
 
-struct World {
+struct Simulation {
     now: Timestamp,
     instances: Vec<Instance>,
     starts: u64,
     at_start: Timestamp,
-    /// When each version was written; the version is the place.
+    /// When each version was written, indexed by version.
     written: Vec<Timestamp>,
-    under_way: Vec<Message>,
+    in_transit: Vec<Message>,
 }
 
-impl World {
+impl Simulation {
     fn new(instances: usize, at_start: Timestamp) -> Self {
         let now = at(100_000);
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             instances: Vec::new(),
             starts: 0,
             at_start,
             written: vec![now],
-            under_way: Vec::new(),
+            in_transit: Vec::new(),
         };
         for _ in 0..instances {
-            let instance = world.started();
-            world.instances.push(instance);
+            let instance = simulation.started();
+            simulation.instances.push(instance);
         }
-        world
+        simulation
     }
 
     fn started(&mut self) -> Instance {
@@ -89,7 +90,7 @@
         Instance::new(self.starts, self.now, self.at_start)
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now = self.now + time;
     }
 
@@ -101,7 +102,7 @@
         self.instances[index] = self.started();
     }
 
-    /// The store answers a call that was sent `ago`; the answer is under way.
+    /// The store answers a call that was sent `ago` before now; the response is in transit.
     fn read(&mut self, reader: usize, ago: Duration, paired: bool) {
         let instance = &self.instances[reader];
         let sent = instance.clock(self.now);
@@ -109,21 +110,21 @@
         let proof = Proof { sent, store_clock: Duration::from_micros(self.now.0) + STORE_AHEAD };
         let version = self.written.len() as u64;
         let start = instance.start;
-        self.under_way.push(Message::Answer { to: reader, start, version, proof, paired });
+        self.in_transit.push(Message::Answer { to: reader, start, version, proof, paired });
     }
 
-    fn hand_on(&mut self, from: usize, to: usize) {
+    fn forward_copy(&mut self, from: usize, to: usize) {
         if let Some(version) = self.instances[from].replica.version() {
-            self.under_way.push(Message::Copy { to, version: version.0 });
+            self.in_transit.push(Message::Copy { to, version: version.0 });
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
+    fn send_freshness(&mut self, from: usize, to: usize) {
         let sender = &self.instances[from];
         let (version, proved_at) = (sender.replica.version(), sender.replica.proved_at());
         if let (Some(version), Some(proved_at)) = (version, proved_at) {
             let start = sender.start;
-            self.under_way.push(Message::Currency { to, start, version: version.0, proved_at });
+            self.in_transit.push(Message::Freshness { to, start, version: version.0, proved_at });
         }
     }
 
@@ -133,28 +134,28 @@
         let own = (greeter.clock(self.now) - ago).max(greeter.at_start);
         let peers = greeted.clock(self.now);
         let (to_start, start) = (greeter.start, greeted.start);
-        self.under_way.push(Message::Pairing { to: from, to_start, start, own, peers });
+        self.in_transit.push(Message::Pairing { to: from, to_start, start, own, peers });
     }
 
-    /// Takes in the message at this place, if there is one; `keeps` takes it in again later.
+    /// Delivers the message at this index, if there is one; with `keeps` it can be delivered again.
     fn deliver(&mut self, index: usize, keeps: bool) {
-        if index >= self.under_way.len() {
+        if index >= self.in_transit.len() {
             return;
         }
-        let message = self.under_way[index];
+        let message = self.in_transit[index];
         if !keeps {
-            self.under_way.remove(index);
+            self.in_transit.remove(index);
         }
-        self.take_in(message);
+        self.receive(message);
     }
 
     fn deliver_all(&mut self) {
-        while !self.under_way.is_empty() {
+        while !self.in_transit.is_empty() {
             self.deliver(0, false);
         }
     }
 
-    fn take_in(&mut self, message: Message) {
+    fn receive(&mut self, message: Message) {
         match message {
             Message::Answer { to, start, version, proof, paired } => {
                 let instance = &mut self.instances[to];
@@ -162,7 +163,7 @@
                     return;
                 }
                 let adopted = instance.replica.offer(snapshot(version, None));
-                // The relay proves nothing by an answer from before what it knows.
+                // The relay accepts no proof from a response that is older than its copy.
                 if adopted != OfferResult::Older {
                     instance.replica.prove(proof, paired);
                 }
@@ -170,7 +171,7 @@
             Message::Copy { to, version } => {
                 self.instances[to].replica.offer(snapshot(version, None));
             }
-            Message::Currency { to, start, version, proved_at } => {
+            Message::Freshness { to, start, version, proved_at } => {
                 let now = self.instances[to].clock(self.now);
                 let instance = &mut self.instances[to];
                 let placed = instance.readers.to_own_clock(start, proved_at);
@@ -188,7 +189,7 @@
     }
 
     /// Whether no copy counts as proved at a moment at which a later version had been written.
-    fn is_true(&self) -> bool {
+    fn is_consistent(&self) -> bool {
         self.instances.iter().all(|instance| {
             let (replica, own) = (&instance.replica, instance.replica.proved_at());
             let (Some(version), Some(own)) = (replica.version(), own) else { return true };
@@ -198,100 +199,100 @@
     }
 }
 
-/// Every instance starts its clock at zero, or so far from it that moments before its start can be
-/// told.
+/// Clocks start at zero, or far enough from zero that moments before the start can be represented.
 const AT_START: [Timestamp; 2] = [Timestamp(0), Timestamp(60_000_000)];
 
-/// The reader is restarted, a key is taken away unseen, and the instance that starts hears from
-/// another how old its copy is.
-fn a_key_goes_while_the_reader_restarts(at_start: Timestamp) -> World {
-    let mut world = World::new(3, at_start);
-    world.read(0, ms(4), true);
-    world.deliver_all();
-    world.greet(1, 0, ms(2));
-    world.deliver_all();
-    world.hand_on(0, 1);
-    world.tell(0, 1);
-    world.deliver_all();
-    world.pass(ms(300));
-    world.restart(0);
-    world.pass(ms(300));
-    world.write();
-    world.pass(ms(200));
-    world.restart(2);
-    world.pass(ms(30));
-    world.greet(2, 1, ms(2));
-    world.greet(1, 2, ms(2));
-    world.hand_on(1, 2);
-    world.tell(1, 2);
-    world.deliver_all();
-    world.tell(2, 1);
-    world.deliver_all();
-    world
+/// The reader restarts, a key is revoked unnoticed, and a starting instance learns from another one
+/// how old its copy is.
+fn key_revoked_while_the_reader_restarts(at_start: Timestamp) -> Simulation {
+    let mut simulation = Simulation::new(3, at_start);
+    simulation.read(0, ms(4), true);
+    simulation.deliver_all();
+    simulation.greet(1, 0, ms(2));
+    simulation.deliver_all();
+    simulation.forward_copy(0, 1);
+    simulation.send_freshness(0, 1);
+    simulation.deliver_all();
+    simulation.advance(ms(300));
+    simulation.restart(0);
+    simulation.advance(ms(300));
+    simulation.write();
+    simulation.advance(ms(200));
+    simulation.restart(2);
+    simulation.advance(ms(30));
+    simulation.greet(2, 1, ms(2));
+    simulation.greet(1, 2, ms(2));
+    simulation.forward_copy(1, 2);
+    simulation.send_freshness(1, 2);
+    simulation.deliver_all();
+    simulation.send_freshness(2, 1);
+    simulation.deliver_all();
+    simulation
 }
 
 #[test]
 fn a_copy_proved_before_an_instance_started_does_not_count_as_proved_at_its_start() {
     for at_start in AT_START {
-        let world = a_key_goes_while_the_reader_restarts(at_start);
-        assert!(world.is_true(), "clock at start {at_start}");
+        let simulation = key_revoked_while_the_reader_restarts(at_start);
+        assert!(simulation.is_consistent(), "clock at start {at_start}");
     }
 }
 
 #[test]
-fn an_instance_whose_clock_tells_moments_before_its_start_knows_how_old_its_copy_is() {
-    let world = a_key_goes_while_the_reader_restarts(at(60_000));
-    let age = world.instances[2].replica.age(world.instances[2].clock(world.now));
-    // Proved 830 ms ago, less accurate by the way of the greetings and the call.
+fn an_instance_whose_clock_represents_moments_before_its_start_knows_the_age_of_its_copy() {
+    let simulation = key_revoked_while_the_reader_restarts(at(60_000));
+    let age = simulation.instances[2].replica.age(simulation.instances[2].clock(simulation.now));
+    // Proved 830 ms ago; the delays of the greetings and the call reduce the accuracy.
     let age = age.expect("is proved");
     assert!(age >= ms(830) && age <= ms(845), "{age:?}");
 }
 
-/// One step of a walk, from a number.
-fn step(world: &mut World, number: u16) {
-    let count = world.instances.len();
+/// One random step, decoded from a number.
+fn step(simulation: &mut Simulation, number: u16) {
+    let count = simulation.instances.len();
     let (kind, rest) = (number % 10, usize::from(number / 10));
     let (a, b) = (rest % count, (rest / count) % count);
     let ago = ms((rest / 7 % 900) as u64);
     match kind {
-        0 => world.write(),
-        1 => world.read(a, ago, true),
-        2 => world.read(a, ago, false),
-        3 => world.hand_on(a, b),
-        4 | 5 => world.tell(a, b),
-        6 => world.greet(a, b, ago.min(ms(60))),
-        7 => world.restart(a),
-        8 => world.deliver(rest % world.under_way.len().max(1), rest % 5 == 0),
-        _ => world.deliver_all(),
+        0 => simulation.write(),
+        1 => simulation.read(a, ago, true),
+        2 => simulation.read(a, ago, false),
+        3 => simulation.forward_copy(a, b),
+        4 | 5 => simulation.send_freshness(a, b),
+        6 => simulation.greet(a, b, ago.min(ms(60))),
+        7 => simulation.restart(a),
+        8 => simulation.deliver(rest % simulation.in_transit.len().max(1), rest % 5 == 0),
+        _ => simulation.deliver_all(),
     }
-    world.pass(ms(10 + (rest % 90) as u64));
+    simulation.advance(ms(10 + (rest % 90) as u64));
 }
 
 quickcheck! {
-    /// Answers, copies and digests are late, doubled, lost or in another order, and instances
-    /// restart.
-    fn no_walk_of_three_instances_proves_a_copy_too_late(steps: Vec<u16>) -> bool {
+    /// Guards against a copy that is proved too late when responses, copies and digests are
+    /// delayed, duplicated, lost or reordered, and instances restart.
+    fn no_random_walk_of_three_instances_proves_a_copy_too_late(steps: Vec<u16>) -> bool {
         AT_START.into_iter().all(|at_start| {
-            let mut world = World::new(3, at_start);
+            let mut simulation = Simulation::new(3, at_start);
             steps.iter().all(|number| {
-                step(&mut world, *number);
-                world.is_true()
+                step(&mut simulation, *number);
+                simulation.is_consistent()
             })
         })
     }
 }
 
-/// What may come next in the walk over all orders.
-const MOVES: [fn(&mut World, usize, usize); 6] = [
-    |world, _, _| world.write(),
-    |world, a, _| world.read(a, ms(5), true),
-    |world, a, b| world.hand_on(a, b),
-    |world, a, b| world.tell(a, b),
-    |world, a, b| world.greet(a, b, ms(2)),
-    |world, a, _| world.restart(a),
+/// The possible steps of the exhaustive walk.
+const STEPS: [fn(&mut Simulation, usize, usize); 6] = [
+    |simulation, _, _| simulation.write(),
+    |simulation, a, _| simulation.read(a, ms(5), true),
+    |simulation, a, b| simulation.forward_copy(a, b),
+    |simulation, a, b| simulation.send_freshness(a, b),
+    |simulation, a, b| simulation.greet(a, b, ms(2)),
+    |simulation, a, _| simulation.restart(a),
 ];
 
-/// Pairs of different instances, and each instance once for what needs no second.
+/// Pairs of different instances, or each instance paired with itself for steps that involve only
+/// one.
 fn pairs(count: usize, alone: bool) -> Vec<(usize, usize)> {
     let all: Range<usize> = 0..count;
     match alone {
@@ -302,32 +303,33 @@
     }
 }
 
-/// Plays a path of moves from the start; messages arrive at once.
-fn plays_true(count: usize, path: &[(usize, usize, usize)], at_start: Timestamp) -> bool {
-    let mut world = World::new(count, at_start);
-    // One that has read and one that took its copy, with their clocks paired.
-    world.read(0, ms(5), true);
-    world.deliver_all();
+/// Runs a sequence of steps from the initial state; messages arrive at once.
+fn is_consistent_along(count: usize, path: &[(usize, usize, usize)], at_start: Timestamp) -> bool {
+    let mut simulation = Simulation::new(count, at_start);
+    // One instance has read the store and the others have received its copy, with their clocks
+    // paired.
+    simulation.read(0, ms(5), true);
+    simulation.deliver_all();
     (1..count).for_each(|other| {
-        world.greet(other, 0, ms(2));
-        world.hand_on(0, other);
+        simulation.greet(other, 0, ms(2));
+        simulation.forward_copy(0, other);
     });
-    world.deliver_all();
+    simulation.deliver_all();
     path.iter().all(|(kind, a, b)| {
-        world.pass(ms(50));
-        MOVES[*kind](&mut world, *a, *b);
-        world.deliver_all();
-        world.is_true()
+        simulation.advance(ms(50));
+        STEPS[*kind](&mut simulation, *a, *b);
+        simulation.deliver_all();
+        simulation.is_consistent()
     })
 }
 
 fn walk(count: usize, depth: usize, path: &mut Vec<(usize, usize, usize)>) {
     if path.len() == depth {
-        // Each step of it is looked at, so shorter paths are too.
-        AT_START.iter().for_each(|at| assert!(plays_true(count, path, *at), "{path:?}"));
+        // The state is checked after each step, so shorter paths are covered.
+        AT_START.iter().for_each(|at| assert!(is_consistent_along(count, path, *at), "{path:?}"));
         return;
     }
-    for kind in 0..MOVES.len() {
+    for kind in 0..STEPS.len() {
         let alone = matches!(kind, 0 | 1 | 5);
         let choices = if kind == 0 { vec![(0, 0)] } else { pairs(count, alone) };
         for (a, b) in choices {
@@ -339,18 +341,19 @@
 }
 
 #[test]
-fn no_order_of_four_moves_of_three_instances_proves_a_copy_too_late() {
+fn no_sequence_of_four_steps_of_three_instances_proves_a_copy_too_late() {
     walk(3, 4, &mut Vec::new());
 }
 
 #[test]
-fn no_order_of_five_moves_of_two_instances_proves_a_copy_too_late() {
+fn no_sequence_of_five_steps_of_two_instances_proves_a_copy_too_late() {
     walk(2, 5, &mut Vec::new());
 }
 
-/// Whoever reads would stop for an earlier reader that has ended, and nobody would read for two seconds.
+/// Guards against naming a previous reader beside a later proof: the current reader would stop
+/// because of it, and no instance would read for two seconds.
 #[test]
-fn an_earlier_reader_is_not_named_beside_a_later_proof() {
+fn previous_reader_is_not_named_beside_a_later_proof() {
     let mut readers = StoreReaders::new(5);
     readers.proved_by(3, Timestamp::from_millis(100));
     assert_eq!(readers.reader(), Some(3));
@@ -361,11 +364,12 @@
     assert_eq!(readers.reader(), Some(7));
 }
 
-/// Seen on 85 instances, half of which the store turned away while endpoints were replaced: the reader
-/// asked the lost store again after a pause that grows with the number of instances, and looked only
-/// then whether others had reached it. It sent requests to an endpoint 3.4 s after that had said it leaves.
+/// Guards against a reader that lost the store and continues as reader. With 85 instances, half of
+/// which the store rejected while endpoints were replaced, the reader polled the lost store after a
+/// delay that grows with the number of instances, and only then checked whether others had reached
+/// it. It sent requests to an endpoint 3.4 s after that had announced that it leaves.
 #[test]
-fn a_reader_that_lost_the_store_leaves_reading_to_others_by_their_first_proof() {
+fn reader_that_lost_the_store_stops_at_the_first_proof_of_another_instance() {
     let mut readers = StoreReaders::new(1);
     readers.begin();
     assert!(!readers.yield_to_others(None, Some(at(900))), "the store is not lost");
--- a/crates/ringbend-gateway/tests/deferral.rs
+++ b/crates/ringbend-gateway/tests/deferral.rs
@@ -1,10 +1,11 @@
-//! Long prompts that would make others late wait while they have time.
+//! Long prompts that would make others late are deferred while they have time.
 //!
-//! The pattern: long prompts arrive at 2.8 times their usual rate for ten seconds. Engines have places
-//! and time for all of them, but each one that is sent at once goes on top of parts that are being read and
-//! beside streams that are being written; those are late then, and the next ones find fewer engines free.
-//! Grounds of the figures: a stream of a long prompt is written within 1 to 2 s, a part of one is read in
-//! 0.4 to 1 s, and the aim of long prompts is 3 s or more, so there is time to wait for either.
+//! Scenario: long prompts arrive at 2.8 times their usual rate for ten seconds. Engines have slots
+//! and time for all of them, but a prompt that is sent at once is read before queued parts and
+//! beside current streams. Those are then late, and the next prompts find fewer free engines. Basis
+//! of the numbers: a stream of a long prompt takes 1 to 2 s to decode, a part of one 0.4 to 1 s to
+//! read, and the target latency of long prompts is 3 s or more, so there is time to wait for
+//! either.
 
 mod support;
 
@@ -17,12 +18,12 @@
 const PROMPT: u64 = 150_000;
 const OWN: u64 = 100;
 
-/// When the prompt that waits is due, and when its caller leaves.
+/// When the waiting prompt is due, and when its caller disconnects.
 const FIRST_BY: u64 = 4_000;
 const UNTIL: u64 = 15_000;
 
-/// Engines that all write for a long prompt, whose streams allow a second between events.
-fn writing_for_long_ones(engines: usize) -> Scene {
+/// Engines that all decode for a long prompt, whose streams allow a gap of a second between events.
+fn decoding_for_long_prompts(engines: usize) -> Scene {
     let mut scene = Scene::new(engines);
     for engine in 1..=engines {
         let lead = Work {
@@ -37,7 +38,7 @@
     scene
 }
 
-/// What becomes of a prompt that arrived at the start.
+/// The decision for a prompt that arrived at time zero.
 fn turn_at(scene: &mut Scene, now: Timestamp) -> Turn {
     let demand = Demand { prompt_tokens: PROMPT, answer_tokens: 1_000 };
     assert!(is_long(&scene.weights, &profile(), demand));
@@ -58,38 +59,38 @@
 }
 
 #[test]
-fn a_prompt_that_would_stall_streams_waits_while_it_has_time() {
-    let mut scene = writing_for_long_ones(2);
+fn a_prompt_that_would_stall_streams_is_deferred_while_it_has_time() {
+    let mut scene = decoding_for_long_prompts(2);
     assert_eq!(turn_at(&mut scene, at(10)), Turn::TooCostly);
-    // Two engines read it in 0.9 s; a second is kept in hand.
+    // Two engines read it in 0.9 s; a second is kept in reserve.
     assert_eq!(turn_at(&mut scene, at(2_200)), Turn::Now);
 }
 
 #[test]
-fn it_goes_once_the_streams_have_ended() {
-    let mut scene = writing_for_long_ones(2);
+fn a_deferred_prompt_is_sent_once_the_streams_have_ended() {
+    let mut scene = decoding_for_long_prompts(2);
     assert_eq!(turn_at(&mut scene, at(10)), Turn::TooCostly);
     (1..=2).for_each(|id| scene.load.end(at(500), work_id(id)));
     assert_eq!(turn_at(&mut scene, at(500)), Turn::Now);
 }
 
 #[test]
-fn one_that_makes_nobody_late_does_not_wait() {
-    let mut scene = writing_for_long_ones(8);
+fn a_prompt_that_makes_no_other_late_is_not_deferred() {
+    let mut scene = decoding_for_long_prompts(8);
     // Parts of 0.2 s on eight engines are within the second that the streams allow.
     assert_eq!(turn_at(&mut scene, at(10)), Turn::Now);
 }
 
 #[test]
-fn one_that_is_late_gives_way_for_part_of_its_callers_time() {
-    let mut scene = writing_for_long_ones(2);
+fn a_late_prompt_is_deferred_for_part_of_its_callers_waiting_time() {
+    let mut scene = decoding_for_long_prompts(2);
     assert_eq!(turn_at(&mut scene, at(5_000)), Turn::TooCostly);
     assert_eq!(turn_at(&mut scene, at(6_500)), Turn::Now);
 }
 
 #[test]
-fn an_engine_that_started_again_writes_for_nobody() {
-    let mut scene = writing_for_long_ones(2);
+fn a_restarted_engine_has_no_streams() {
+    let mut scene = decoding_for_long_prompts(2);
     (1..=2).for_each(|engine| scene.load.remove_endpoint(at(20), &endpoint(engine).id));
     assert_eq!(turn_at(&mut scene, at(20)), Turn::Now);
 }
--- a/crates/ringbend-gateway/tests/directory.rs
+++ b/crates/ringbend-gateway/tests/directory.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_leaving_or_vanished_endpoint_takes_no_new_work() {
+fn a_leaving_or_removed_endpoint_takes_no_new_work() {
     let mut directory = two();
     directory.apply(at(1), leaving(1));
     assert_eq!(ready(&directory, at(1)), 1);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_in_an_outage_is_believed_in_until_it_must_be_back() {
+fn an_endpoint_whose_row_expired_in_an_outage_stays_available_for_the_grace_time() {
     let mut directory = two();
     directory.store_recovered(at(1_000));
     directory.replace(at(1_000), vec![endpoint(1)]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_entry_that_is_back_in_time_stays() {
+fn an_endpoint_whose_row_reappears_in_time_stays_available() {
     let mut directory = two();
     directory.store_recovered(at(1_000));
     directory.apply(at(1_000), gone(2));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_endpoint_that_was_leaving_is_not_believed_in() {
+fn a_leaving_endpoint_gets_no_grace_time() {
     let mut directory = two();
     directory.apply(at(900), leaving(2));
     directory.store_recovered(at(1_000));
--- a/crates/ringbend-gateway/tests/drains.rs
+++ b/crates/ringbend-gateway/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Announcements of draining endpoints.
+//! Drain announcements of endpoints.
 
 mod support;
 
@@ -18,9 +18,9 @@
     directory.of_service(now, &service("engines")).count()
 }
 
-/// Guards against a row that brings a draining endpoint back.
+/// Guards against a row that makes a draining endpoint available again.
 #[test]
-fn announcement_outlasts_rows_that_say_otherwise() {
+fn announcement_overrides_later_rows() {
     let mut directory = Directory::default();
     directory.replace(at(0), fleet(2));
     assert!(directory.note_drain(at(1), drain(&endpoint(1))));
@@ -33,9 +33,10 @@
     assert_eq!(ready(&directory, at(60_001)), 1);
 }
 
-/// Guards against a draining endpoint that is believed in because its row lapsed around an outage of the store.
+/// Guards against keeping a draining endpoint available because its row expired around a store
+/// outage.
 #[test]
-fn draining_endpoint_whose_row_lapsed_is_not_believed_in() {
+fn draining_endpoint_whose_row_expired_gets_no_grace_time() {
     let mut directory = Directory::default();
     directory.replace(at(0), fleet(2));
     directory.note_drain(at(900), drain(&endpoint(2)));
@@ -45,18 +46,19 @@
     assert!(ready(&directory, at(1_000) + OUTAGE_GRACE) == 1);
 }
 
-/// Guards against an announcement that comes before the endpoint's row.
+/// Guards against losing an announcement that arrives before the endpoint's row.
 #[test]
-fn announcement_of_an_endpoint_without_a_row_holds_once_the_row_comes() {
+fn announcement_before_the_row_applies_once_the_row_arrives() {
     let mut directory = Directory::default();
     directory.note_drain(at(0), drain(&endpoint(1)));
     directory.replace(at(1), fleet(1));
     assert_eq!(ready(&directory, at(1)), 0);
 }
 
-/// Guards against a late announcement of a former process, and one that outlives its process.
+/// Guards against a late announcement of an earlier process, and against an announcement that
+/// outlives its process.
 #[test]
-fn announcement_holds_for_its_process_alone() {
+fn announcement_applies_only_to_its_process() {
     let mut directory = Directory::default();
     directory.replace(at(0), vec![started(1, 100)]);
     directory.note_drain(at(1), drain(&started(1, 100)));
@@ -68,7 +70,7 @@
     assert_eq!(ready(&directory, at(4)), 0);
 }
 
-/// Guards against a table of announcements that grows without bound.
+/// Guards against an unbounded table of announcements.
 #[test]
 fn announcements_are_bounded_and_old_ones_of_gone_endpoints_are_dropped() {
     let mut drains = Drains::default();
@@ -81,9 +83,9 @@
     assert_eq!(drains.len(), 1);
 }
 
-/// Guards against a table that comes back from an older copy, in which a draining endpoint is still ready.
+/// Guards against a table restored from an older copy, in which a draining endpoint is still ready.
 #[test]
-fn older_row_does_not_bring_back_an_endpoint_whose_row_said_draining() {
+fn older_row_does_not_revoke_draining() {
     let mut directory = Directory::default();
     directory.replace(at(0), vec![started(1, 100), endpoint(2)]);
     for endpoint in [started(1, 100), endpoint(2)] {
--- a/crates/ringbend-gateway/tests/endpoint_restarts.rs
+++ b/crates/ringbend-gateway/tests/endpoint_restarts.rs
@@ -1,9 +1,10 @@
-//! Endpoints that start again under the id that they had, and others at the address of one that ended.
+//! Endpoints that restart under the same id, and endpoints that start at the address of one that
+//! ended.
 //!
-//! The pattern: an endpoint crashes, behind a cut or in sight, and starts again within seconds. Its rows
-//! arrive in any order: heartbeats of the former start have come back four seconds after its row had
-//! lapsed. Work that is believed to be on it keeps its places taken until callers leave, and a row of
-//! an ended endpoint draws requests that nobody runs.
+//! Scenario: an endpoint crashes, visibly or behind a partition, and restarts within seconds. Its
+//! rows arrive in any order: heartbeats of the earlier process have reappeared four seconds after
+//! its row had expired. Work that is still attributed to it occupies its slots until callers
+//! disconnect, and the row of an ended endpoint attracts requests that nothing runs.
 
 mod support;
 
@@ -21,7 +22,7 @@
     EndpointChange::Present(endpoint.clone())
 }
 
-/// The same address and service under another id.
+/// An endpoint with another id but the same address and service.
 fn successor(of: &Endpoint) -> Endpoint {
     Endpoint { id: "e-99".parse().unwrap(), ..of.clone() }
 }
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn a_later_start_under_the_same_id_ends_the_former_one() {
+fn a_later_process_with_the_same_id_ends_the_earlier_one() {
     let mut directory = Directory::default();
     let (former, later) = (started(1, 100), started(1, 200));
     assert!(directory.apply(at(0), present(&former)).is_empty());
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_row_of_a_former_start_changes_nothing() {
+fn a_row_of_an_earlier_process_is_ignored() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&started(1, 200)));
     let late = Endpoint { leaving: true, ..started(1, 100) };
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_row_of_a_former_start_changes_nothing_after_the_entry_was_gone() {
+fn a_row_of_an_earlier_process_is_ignored_after_the_row_was_removed() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&started(1, 200)));
     directory.apply(at(1), EndpointChange::Gone(endpoint(1).id));
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn an_endpoints_own_word_of_its_start_comes_before_its_row() {
+fn a_start_reported_by_the_endpoint_takes_effect_before_its_row() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&started(1, 100)));
     assert_eq!(directory.note_start(&endpoint(1).id, EndpointStart(200)).len(), 1);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_row_without_the_start_that_an_endpoint_always_tells_is_of_another_writer() {
+fn a_row_without_the_start_time_of_a_known_process_is_rejected() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&started(1, 100)));
     directory.apply(at(1), present(&endpoint(1)));
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn whoever_starts_at_an_address_ends_the_endpoint_that_was_there() {
+fn an_endpoint_that_starts_at_an_address_ends_the_previous_one() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&endpoint(1)));
     let ended = directory.apply(at(1), present(&successor(&endpoint(1))));
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_late_row_of_the_endpoint_that_was_there_names_none() {
+fn a_late_row_of_the_previous_endpoint_at_an_address_is_ignored() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&endpoint(1)));
     directory.apply(at(1), EndpointChange::Gone(endpoint(1).id));
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn an_endpoint_that_another_services_row_names_goes_on() {
+fn a_row_of_another_service_at_the_same_address_ends_no_endpoint() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&endpoint(1)));
     let foreign = Endpoint { service: service("unknown"), ..successor(&endpoint(1)) };
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn of_two_that_are_first_seen_together_none_has_ended() {
+fn of_two_endpoints_first_seen_together_neither_has_ended() {
     let mut directory = Directory::default();
     let ended: EndedEndpoints =
         directory.replace(at(0), vec![endpoint(1), successor(&endpoint(1))]);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn an_unreadable_row_names_no_endpoint_at_once_even_when_the_store_is_just_back() {
+fn an_unreadable_row_removes_its_endpoint_at_once_even_after_an_outage() {
     let mut directory = Directory::default();
     directory.apply(at(0), present(&endpoint(1)));
     directory.store_recovered(at(10));
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn work_of_an_ended_endpoint_is_off_the_book_and_work_elsewhere_stays() {
+fn work_on_an_ended_endpoint_is_dropped_and_other_work_stays() {
     let mut load = LoadTracker::default();
     let helped = ringbend_gateway::Work {
         helpers: [endpoint(1).id].into_iter().collect(),
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn where_another_endpoint_answered_nobody_is_sent_for_longer_than_late_rows_stand() {
+fn an_address_where_another_endpoint_responded_is_avoided_for_longer_than_late_rows_remain() {
     let mut health = HealthTracker::default();
     health.note(at(0), &endpoint(1).id, HealthEvent::Foreign);
     assert!(health.penalty_ms(at(9_000), &endpoint(1).id) > 0.0);
--- a/crates/ringbend-gateway/tests/freshness.rs
+++ b/crates/ringbend-gateway/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! A copy of the configuration only rises, and never counts as younger than it is.
+//! The version of a copy of the configuration never decreases, and the copy never counts as more
+//! recent than it is.
 
 mod support;
 
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn an_answer_that_waited_is_placed_by_the_stores_clock() {
+fn a_long_poll_response_is_placed_by_the_stores_clock() {
     let mut freshness = Freshness::default();
     freshness.prove(proof(1_000, 50_000), true);
     // Sent at 2,000 and answered by the store 1,500 ms later.
@@ -24,14 +25,14 @@
 }
 
 #[test]
-fn without_a_pairing_an_answer_proves_only_the_moment_of_sending() {
+fn without_a_clock_pairing_a_response_proves_only_the_time_of_sending() {
     let mut freshness = Freshness::default();
     freshness.prove(proof(2_000, 52_500), false);
     assert_eq!(freshness.proved_at(), Some(at(2_000)));
 }
 
 #[test]
-fn a_store_whose_clock_fell_back_is_paired_anew() {
+fn a_store_whose_clock_went_backwards_is_paired_again() {
     let mut freshness = Freshness::default();
     freshness.prove(proof(1_000, 50_000), true);
     freshness.prove(proof(9_000, 10), false);
@@ -41,14 +42,14 @@
 }
 
 quickcheck! {
-    /// Whatever the delays on the way, the table was current no earlier than it is proved for.
-    fn a_proof_never_lies_after_the_stores_answer(delays: Vec<(u16, u16, u16)>) -> bool {
+    /// Whatever the network delays, the time of the proof is no later than the store's response.
+    fn a_proof_is_never_later_than_the_stores_response(delays: Vec<(u16, u16, u16)>) -> bool {
         let (mut freshness, mut now) = (Freshness::default(), 1_000u64);
         for (index, (out, wait, back)) in delays.into_iter().enumerate() {
             let paired = index % 3 == 0;
             let wait = if paired { 0 } else { u64::from(wait) };
             let answered = now + u64::from(out) + wait;
-            // The store's clock is 70 s ahead of ours and as fast.
+            // The store's clock is 70 s ahead of ours and runs at the same speed.
             let placed = freshness.prove(proof(now, answered + 70_000), paired);
             if placed > at(answered) {
                 return false;
@@ -58,7 +59,7 @@
         true
     }
 
-    fn the_version_in_force_never_falls(offers: Vec<u8>) -> bool {
+    fn the_version_in_force_never_decreases(offers: Vec<u8>) -> bool {
         let mut replica = Replica::default();
         offers.into_iter().all(|version| {
             let before = replica.version();
@@ -75,7 +76,7 @@
 
 const BOUNDS: AdmissionBounds = AdmissionBounds { key_age: Some(ms(3_500)), denial_age: ms(2_000) };
 
-fn arrival(path: &'static str, key: Option<&'static str>) -> AdmissionRequest<'static> {
+fn request(path: &'static str, key: Option<&'static str>) -> AdmissionRequest<'static> {
     AdmissionRequest { host: "H:80", path, key }
 }
 
@@ -87,17 +88,17 @@
 }
 
 fn denied(now_ms: u64, path: &'static str, key: Option<&'static str>) -> Option<Denied> {
-    admit(&replica(0), at(now_ms), &BOUNDS, arrival(path, key)).err()
+    admit(&replica(0), at(now_ms), &BOUNDS, request(path, key)).err()
 }
 
 #[test]
-fn a_key_is_let_in_until_the_copy_may_miss_that_it_was_taken_away() {
+fn a_key_is_admitted_until_the_copy_may_miss_its_revocation() {
     assert_eq!(denied(3_499, "/a/x", Some("k")), None);
     assert_eq!(denied(3_500, "/a/x", Some("k")), Some(Denied::StaleConfig));
 }
 
 #[test]
-fn what_a_newer_configuration_may_know_is_not_denied_for_good() {
+fn an_unknown_key_or_route_is_not_rejected_for_good_by_a_stale_copy() {
     assert_eq!(denied(100, "/a/x", Some("other")), Some(Denied::BadKey));
     assert_eq!(denied(2_100, "/a/x", Some("other")), Some(Denied::StaleConfig));
     assert_eq!(denied(100, "/b/", Some("k")), Some(Denied::NoRoute));
--- a/crates/ringbend-gateway/tests/limit_coordinator.rs
+++ b/crates/ringbend-gateway/tests/limit_coordinator.rs
@@ -1,4 +1,5 @@
-//! Which instance counts for all what the limited endpoints of a service get, as instances fall silent.
+//! Which instance grants the permits of a service's rate-limited endpoints, as instances fall
+//! silent.
 
 mod support;
 
@@ -12,8 +13,8 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7_000)
 }
 
-/// An instance that schedules, beside others that do and that have just been heard.
-fn beside(others: u8, now: Timestamp) -> Peers {
+/// A scheduler beside other schedulers that have just been heard.
+fn scheduler_beside(others: u8, now: Timestamp) -> Peers {
     let mut peers = Peers::new(now, "z1".parse().unwrap(), InstanceRank::new(100, address(0)));
     peers.become_scheduler();
     (1..=others).for_each(|number| hear(&mut peers, number, now));
@@ -27,57 +28,58 @@
     peers.set_status(address(number), part);
 }
 
-fn counter(peers: &Peers, now: Timestamp) -> Option<Arbiter> {
+fn coordinator(peers: &Peers, now: Timestamp) -> Option<Arbiter> {
     peers.limit_coordinator(now, &service("engines"))
 }
 
 #[test]
-fn the_best_placed_scheduler_counts() {
+fn the_best_ranked_scheduler_is_the_coordinator() {
     let now = at(1_000);
-    assert_eq!(counter(&beside(0, now), now), Some(Arbiter::Local));
-    assert_eq!(counter(&beside(3, now), now), Some(Arbiter::Remote(address(3))));
+    assert_eq!(coordinator(&scheduler_beside(0, now), now), Some(Arbiter::Local));
+    assert_eq!(coordinator(&scheduler_beside(3, now), now), Some(Arbiter::Remote(address(3))));
 }
 
 #[test]
-fn one_that_does_not_schedule_and_hears_none_that_does_counts_nothing() {
+fn without_a_known_scheduler_there_is_no_coordinator() {
     let peers = Peers::new(at(0), "z1".parse().unwrap(), InstanceRank::new(100, address(0)));
-    assert_eq!(counter(&peers, at(1_000)), None);
+    assert_eq!(coordinator(&peers, at(1_000)), None);
 }
 
 #[test]
-fn one_that_did_not_answer_in_time_still_counts_and_another_one_only_once_it_is_not_heard() {
+fn an_unresponsive_coordinator_keeps_its_role_until_it_is_silent() {
     let now = at(1_000);
-    let mut peers = beside(2, now);
+    let mut peers = scheduler_beside(2, now);
     peers.mark_unresponsive(now, address(2));
-    assert_eq!(counter(&peers, now), Some(Arbiter::Remote(address(2))));
+    assert_eq!(coordinator(&peers, now), Some(Arbiter::Remote(address(2))));
     let after_one = now + HEARTBEAT_INTERVAL + ms(100);
     hear(&mut peers, 1, after_one);
     assert_eq!(
-        counter(&peers, after_one),
+        coordinator(&peers, after_one),
         Some(Arbiter::Remote(address(2))),
         "one heartbeat was lost"
     );
     let after_two = now + HEARTBEAT_INTERVAL * 2 + ms(300);
     hear(&mut peers, 1, after_two);
-    assert_eq!(counter(&peers, after_two), Some(Arbiter::Remote(address(1))));
+    assert_eq!(coordinator(&peers, after_two), Some(Arbiter::Remote(address(1))));
     hear(&mut peers, 2, after_two);
-    assert_eq!(counter(&peers, after_two), Some(Arbiter::Remote(address(2))));
+    assert_eq!(coordinator(&peers, after_two), Some(Arbiter::Remote(address(2))));
 }
 
 #[test]
-fn one_that_says_that_it_stops_is_followed_at_once() {
+fn a_coordinator_that_announces_its_stop_is_replaced_at_once() {
     let now = at(1_000);
-    let mut peers = beside(2, now);
+    let mut peers = scheduler_beside(2, now);
     peers.remove(address(2));
-    assert_eq!(counter(&peers, now), Some(Arbiter::Remote(address(1))));
+    assert_eq!(coordinator(&peers, now), Some(Arbiter::Remote(address(1))));
     assert!((peers.reachable_share(now) - 1.0).abs() < 1e-9);
 }
 
-/// Each half of a fleet that was cut gives away its share, so that both together give what was named.
+/// Each half of a partitioned fleet grants its share of the limit, so that both together grant the
+/// whole limit.
 #[test]
-fn a_part_of_all_instances_gives_away_its_share_while_the_others_are_silent() {
+fn a_partition_grants_its_share_while_the_others_are_silent() {
     let now = at(1_000);
-    let mut peers = beside(5, now);
+    let mut peers = scheduler_beside(5, now);
     assert!((peers.reachable_share(now) - 1.0).abs() < 1e-9);
     let later = now + ms(3_000);
     (1..=2).for_each(|number| hear(&mut peers, number, later));
--- a/crates/ringbend-gateway/tests/limits.rs
+++ b/crates/ringbend-gateway/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What is known of the limits that endpoints name, as instances hear it and tell each other.
+//! Rate limits of endpoints, as observed by instances and exchanged between them.
 
 mod support;
 
@@ -12,8 +12,8 @@
 const TWO: RequestRate = RequestRate::per_second(2);
 const FIVE: RequestRate = RequestRate::per_second(5);
 
-fn hear(limits: &mut Limits, now: u64, asked: u64, word: LimitSignal) -> LimitUpdate {
-    limits.observe(at(now), &endpoint(1), at(asked), word, LimitSource::Response)
+fn observe(limits: &mut Limits, now: u64, asked: u64, signal: LimitSignal) -> LimitUpdate {
+    limits.observe(at(now), &endpoint(1), at(asked), signal, LimitSource::Response)
 }
 
 fn started(ms: u64) -> Endpoint {
@@ -21,44 +21,44 @@
 }
 
 #[test]
-fn a_limit_holds_from_the_answer_that_names_it_to_one_that_was_asked_for_later_and_does_not() {
+fn a_limit_applies_until_a_later_request_gets_a_response_without_it() {
     let mut limits = Limits::default();
-    assert_eq!(hear(&mut limits, 10, 0, LimitSignal::None), LimitUpdate::Unchanged);
-    assert_eq!(hear(&mut limits, 20, 0, LimitSignal::Rate(TWO)), LimitUpdate::Changed);
+    assert_eq!(observe(&mut limits, 10, 0, LimitSignal::None), LimitUpdate::Unchanged);
+    assert_eq!(observe(&mut limits, 20, 0, LimitSignal::Rate(TWO)), LimitUpdate::Changed);
     assert_eq!(limits.rate(&endpoint(1)), Some(TWO));
-    assert_eq!(hear(&mut limits, 30, 15, LimitSignal::None), LimitUpdate::Unchanged);
+    assert_eq!(observe(&mut limits, 30, 15, LimitSignal::None), LimitUpdate::Unchanged);
     assert_eq!(limits.rate(&endpoint(1)), Some(TWO), "that answer may be older");
-    assert_eq!(hear(&mut limits, 40, 25, LimitSignal::None), LimitUpdate::Changed);
+    assert_eq!(observe(&mut limits, 40, 25, LimitSignal::None), LimitUpdate::Changed);
     assert_eq!(limits.rate(&endpoint(1)), None);
 }
 
 #[test]
-fn the_newest_of_two_limits_counts() {
+fn the_latest_of_two_limits_applies() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
-    assert_eq!(hear(&mut limits, 20, 0, LimitSignal::Rate(FIVE)), LimitUpdate::Changed);
-    assert_eq!(hear(&mut limits, 30, 0, LimitSignal::Rate(FIVE)), LimitUpdate::Unchanged);
+    observe(&mut limits, 10, 0, LimitSignal::Rate(TWO));
+    assert_eq!(observe(&mut limits, 20, 0, LimitSignal::Rate(FIVE)), LimitUpdate::Changed);
+    assert_eq!(observe(&mut limits, 30, 0, LimitSignal::Rate(FIVE)), LimitUpdate::Unchanged);
     assert_eq!(limits.rate(&endpoint(1)), Some(FIVE));
 }
 
 #[test]
-fn a_word_that_cannot_be_read_changes_nothing_and_is_told_once() {
+fn a_malformed_limit_changes_nothing_and_is_reported_once() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
+    observe(&mut limits, 10, 0, LimitSignal::Rate(TWO));
     let bad = LimitSignal::Malformed(MalformedLimit::Rate(ParseDecimalError::Negative));
-    assert!(matches!(hear(&mut limits, 20, 15, bad), LimitUpdate::Malformed(_)));
-    assert_eq!(hear(&mut limits, 30, 15, bad), LimitUpdate::Unchanged);
+    assert!(matches!(observe(&mut limits, 20, 15, bad), LimitUpdate::Malformed(_)));
+    assert_eq!(observe(&mut limits, 30, 15, bad), LimitUpdate::Unchanged);
     assert_eq!(limits.rate(&endpoint(1)), Some(TWO));
-    assert_eq!(hear(&mut limits, 40, 35, LimitSignal::None), LimitUpdate::Changed);
+    assert_eq!(observe(&mut limits, 40, 35, LimitSignal::None), LimitUpdate::Changed);
     assert!(limits.is_empty());
 }
 
 #[test]
-fn a_report_ends_a_limit_only_if_reports_name_it() {
+fn a_status_report_ends_a_limit_only_if_reports_name_it() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
-    let report = |limits: &mut Limits, now, word| {
-        limits.observe(at(now), &endpoint(1), at(now - 1), word, LimitSource::Report)
+    observe(&mut limits, 10, 0, LimitSignal::Rate(TWO));
+    let report = |limits: &mut Limits, now, signal| {
+        limits.observe(at(now), &endpoint(1), at(now - 1), signal, LimitSource::Report)
     };
     assert_eq!(report(&mut limits, 20, LimitSignal::None), LimitUpdate::Unchanged);
     assert!(!limits.is_in_reports(&endpoint(1).id));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_endpoint_that_has_started_again_has_no_limit() {
+fn a_restarted_endpoint_has_no_limit() {
     let mut limits = Limits::default();
     limits.observe(at(10), &started(1), at(0), LimitSignal::Rate(TWO), LimitSource::Response);
     assert_eq!(limits.rate(&started(1)), Some(TWO));
@@ -77,13 +77,13 @@
     assert_eq!(limits.rate(&started(2)), Some(FIVE));
     let late =
         limits.observe(at(30), &started(1), at(0), LimitSignal::Rate(TWO), LimitSource::Response);
-    assert_eq!(late, LimitUpdate::Unchanged, "word of its former process");
+    assert_eq!(late, LimitUpdate::Unchanged, "signal of its former process");
 }
 
 #[test]
-fn what_is_told_of_an_endpoint_that_is_gone_is_forgotten_after_a_while() {
+fn the_record_of_a_removed_endpoint_is_dropped_after_a_while() {
     let mut limits = Limits::default();
-    hear(&mut limits, 10, 0, LimitSignal::Rate(TWO));
+    observe(&mut limits, 10, 0, LimitSignal::Rate(TWO));
     limits.sweep(at(59_000), |_| true);
     assert_eq!(limits.len(), 1);
     limits.sweep(at(61_000), |_| false);
@@ -93,16 +93,16 @@
 }
 
 #[test]
-fn no_more_is_remembered_than_is_allowed_for() {
+fn the_number_of_records_is_bounded() {
     let mut limits = Limits::default();
     for number in 0..5_000 {
-        let word = LimitSignal::Rate(TWO);
-        limits.observe(at(10), &endpoint(number), at(0), word, LimitSource::Response);
+        let signal = LimitSignal::Rate(TWO);
+        limits.observe(at(10), &endpoint(number), at(0), signal, LimitSource::Response);
     }
     assert_eq!(limits.len(), 4_096);
 }
 
-/// What one instance hears, or is told by another one.
+/// An observation of one instance, or a message between two.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Hears { at: usize, rate: Option<u64> },
@@ -131,17 +131,18 @@
 }
 
 quickcheck! {
-    /// Whatever they heard and were told in any order, instances that tell each other all they know agree.
-    fn instances_agree_in_the_end(events: Vec<Event>) -> bool {
+    /// Instances that exchange all they know converge, whatever they observed and received in any
+    /// order.
+    fn instances_converge(events: Vec<Event>) -> bool {
         let mut all = vec![Limits::default(); INSTANCES];
         let mut now = 10;
         for event in events {
             now += 10;
             match event {
                 Event::Hears { at, rate } => {
-                    let word = rate.map(RequestRate::per_second);
-                    let word = word.map_or(LimitSignal::None, LimitSignal::Rate);
-                    hear(&mut all[at], now, now - 1, word);
+                    let signal = rate.map(RequestRate::per_second);
+                    let signal = signal.map_or(LimitSignal::None, LimitSignal::Rate);
+                    observe(&mut all[at], now, now - 1, signal);
                 }
                 Event::Tells { from, to } => tell(&mut all, now, from, to),
             }
@@ -155,7 +156,7 @@
         rates.iter().all(|rate| *rate == rates[0])
     }
 
-    /// No text ends the program, and what is read is never less than nothing.
+    /// Parsing any text succeeds with a non-negative rate or fails with an error.
     fn any_text_is_a_rate_or_an_error(text: String) -> bool {
         text.parse::<RequestRate>().is_ok_and(|rate| rate.as_f64() >= 0.0)
             || text.parse::<RequestRate>().is_err()
--- a/crates/ringbend-gateway/tests/pace.rs
+++ b/crates/ringbend-gateway/tests/pace.rs
@@ -1,9 +1,10 @@
-//! Work goes where it is done in time, though some engines are slower than configured.
+//! Requests are placed so that they are on time although some engines are slower than configured.
 //!
-//! The pattern: a quarter of the engines take six times as long for six seconds. They look no busier than
-//! others, so each short prompt that goes there is late and stays, and long prompts wait for the part
-//! that a slow engine reads. Grounds of the figures: a pass of these engines takes 43 ms, so a short
-//! prompt that is expected after 0.1 s takes 0.6 s on a slow one, with an aim of 0.3 s.
+//! Scenario: a quarter of the engines take six times as long for six seconds. They look no busier
+//! than others, so each short prompt placed there is late and stays, and long prompts wait for the
+//! part that a slow engine reads. Basis of the numbers: a pass of these engines takes 43 ms, so a
+//! short prompt that is expected after 0.1 s takes 0.6 s on a slow one, with a target latency of
+//! 0.3 s.
 
 mod support;
 
@@ -28,16 +29,16 @@
     }
 }
 
-fn is_slow_one(id: &ringbend_types::EndpointId) -> bool {
+fn is_slow(id: &ringbend_types::EndpointId) -> bool {
     (1..=3).any(|engine| endpoint(engine).id == *id)
 }
 
 #[test]
-fn a_short_prompt_goes_to_an_engine_that_is_in_time() {
+fn a_short_prompt_is_placed_on_an_engine_that_is_on_time() {
     let mut scene = Scene::new(12);
-    assert!(is_slow_one(&place(&scene, 3_000, 300).lead), "the first engine is asked first");
+    assert!(is_slow(&place(&scene, 3_000, 300).lead), "the first engine is asked first");
     slow(&mut scene, 1..=3);
-    assert!(!is_slow_one(&place(&scene, 3_000, 300).lead));
+    assert!(!is_slow(&place(&scene, 3_000, 300).lead));
 }
 
 #[test]
@@ -47,11 +48,11 @@
     let placement = place(&scene, 210_000, 3_000);
     assert!(placement.helpers.len() >= 5, "{placement:?}");
     let mut engines = placement.helpers.iter().chain([&placement.lead]);
-    assert!(!engines.any(is_slow_one), "{placement:?}");
+    assert!(!engines.any(is_slow), "{placement:?}");
 }
 
 #[test]
-fn what_is_expected_of_a_slow_engine_takes_its_pace_into_account() {
+fn the_expected_time_on_a_slow_engine_includes_its_pace() {
     let mut scene = Scene::new(1);
     let usual = place(&scene, 3_000, 300).first_ms;
     slow(&mut scene, 1..=1);
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_slow_engine_reads_what_waits_for_longer() {
+fn a_slow_engine_takes_longer_to_read_its_backlog() {
     let mut scene = Scene::new(2);
     for engine in 1..=2 {
         scene.load.place(at(0), work_id(engine), work(engine as usize, ms(600)));
@@ -71,10 +72,11 @@
     assert!(left(1) > ms(500) && left(2) < ms(200), "{:?}, {:?}", left(1), left(2));
 }
 
-/// Streams stay for long on a slow engine. If those were counted, it would be kept quiet in place of the
-/// engine that short prompts go to now, and a long prompt would be read there.
+/// Guards against reserving a slow engine for short prompts. Streams take long on it, so counting
+/// them would reserve it instead of the engine that now receives the short prompts, and a long
+/// prompt would be read there.
 #[test]
-fn streams_that_linger_on_a_slow_engine_do_not_keep_it_quiet_in_place_of_another() {
+fn a_slow_engine_is_not_reserved_for_short_prompts_instead_of_another() {
     let mut scene = Scene::new(3);
     for (engine, count) in [(1, 10), (2, 3)] {
         for n in 0..count {
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn an_engine_that_says_it_is_as_fast_as_configured_gets_work_again() {
+fn an_engine_that_reports_its_usual_pace_gets_work_again() {
     let mut scene = Scene::new(12);
     slow(&mut scene, 1..=3);
     scene.load.set_pace(at(100), &endpoint(1).id, Pace::USUAL);
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn a_pace_that_nobody_tells_again_is_believed_for_some_seconds() {
+fn a_pace_that_is_not_reported_again_expires_after_some_seconds() {
     let mut scene = Scene::new(2);
     slow(&mut scene, 1..=1);
     let pace_at = |scene: &mut Scene, time| {
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn numbers_that_make_no_sense_are_a_usual_pace() {
+fn invalid_factors_are_the_usual_pace() {
     for factor in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -3.0, 0.0, 0.2] {
         assert_eq!(Pace::new(factor), Pace::USUAL, "{factor}");
     }
@@ -118,12 +120,13 @@
 }
 
 #[test]
-fn an_engine_that_many_suspect_is_asked_once() {
-    let mut asks = PaceQueries::default();
-    let asked = (0..600).filter(|time| asks.begin(at(*time), &endpoint(1).id, false)).count();
+fn an_engine_suspected_by_many_is_queried_once() {
+    let mut queries = PaceQueries::default();
+    let asked = (0..600).filter(|time| queries.begin(at(*time), &endpoint(1).id, false)).count();
     assert_eq!(asked, 1);
     assert!(
-        asks.begin(at(601), &endpoint(2).id, false) && asks.begin(at(800), &endpoint(1).id, false)
+        queries.begin(at(601), &endpoint(2).id, false)
+            && queries.begin(at(800), &endpoint(1).id, false)
     );
 }
 
--- a/crates/ringbend-gateway/tests/placement.rs
+++ b/crates/ringbend-gateway/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement by what it makes late, against choosing the least loaded engines.
+//! Placement by expected lateness, compared with choosing the least loaded engines.
 
 mod support;
 
@@ -7,8 +7,8 @@
 };
 use support::{Scene, at, endpoint, ms, profile, work, work_id};
 
-/// Puts requests that write on an engine, with the gap of quick questions.
-fn writing(scene: &mut Scene, engine: usize, count: u64) {
+/// Adds decoding requests with the gap of short prompts to an engine.
+fn add_decoding(scene: &mut Scene, engine: usize, count: u64) {
     for n in 0..count {
         let id = work_id(engine as u64 * 100 + n);
         scene.load.place(at(0), id, work(engine, ms(1)));
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn a_quick_question_joins_others_rather_than_taking_an_idle_engine() {
+fn a_short_prompt_joins_others_rather_than_taking_an_idle_engine() {
     let mut scene = Scene::new(4);
-    writing(&mut scene, 3, 5);
+    add_decoding(&mut scene, 3, 5);
     assert_eq!(engines(&place(&mut scene, 3_000, 300, 200)), ["e-03"]);
 }
 
-/// A pass that reads a long part cannot be interrupted: prompts expected in 0.5 s had their first
-/// event after 4.5 s.
+/// Guards against placing a part on an engine that is reading. A pass that reads a long part cannot
+/// be interrupted: prompts expected in 0.5 s had their first event after 4.5 s.
 #[test]
-fn a_prompt_is_not_split_onto_engines_that_are_reading() {
+fn a_prompt_is_not_split_among_engines_that_are_reading() {
     let mut scene = Scene::new(4);
     for engine in 1..=3 {
         let helpers = [endpoint(engine % 3 + 1).id].into_iter().collect();
@@ -51,11 +51,11 @@
     assert_eq!(engines(&placement), ["e-04"]);
 }
 
-/// Engines' passes are not in step, so the longer wait for the end of a pass counts.
+/// The passes of engines are not aligned, so the longest wait for the end of a pass counts.
 #[test]
 fn a_split_prompt_waits_for_the_last_of_several_passes() {
     let mut scene = Scene::new(8);
-    (1..=8).for_each(|engine| writing(&mut scene, engine, 2));
+    (1..=8).for_each(|engine| add_decoding(&mut scene, engine, 2));
     let placement = place(&mut scene, 60_000, 1_500, 600);
     assert!(placement.helpers.len() >= 2, "{placement:?}");
     let pass_ms = profile().pass_ms(2);
@@ -64,23 +64,23 @@
 }
 
 #[test]
-fn a_full_engine_is_not_joined() {
+fn a_full_engine_is_avoided() {
     let mut scene = Scene::new(4);
-    writing(&mut scene, 3, 16);
+    add_decoding(&mut scene, 3, 16);
     assert!(!engines(&place(&mut scene, 3_000, 300, 200)).contains(&"e-03".to_owned()));
 }
 
 #[test]
-fn a_long_prompt_leaves_engines_alone_on_which_it_would_make_streams_late() {
+fn a_long_prompt_avoids_engines_where_it_would_make_streams_late() {
     let mut scene = Scene::new(8);
-    (1..=3).for_each(|engine| writing(&mut scene, engine, 10));
+    (1..=3).for_each(|engine| add_decoding(&mut scene, engine, 10));
     let chosen = engines(&place(&mut scene, 210_000, 3_000, 800));
     assert!(chosen.len() > 2, "{chosen:?}");
     assert!(!chosen.iter().any(|id| ["e-01", "e-02", "e-03"].contains(&id.as_str())), "{chosen:?}");
 }
 
 #[test]
-fn a_part_is_kept_off_an_engine_where_another_prompt_would_be_late_by_it() {
+fn a_part_avoids_an_engine_where_it_would_make_another_prompt_late() {
     let mut scene = Scene::new(4);
     // Due in 500 ms with 400 ms to read, on two engines.
     let reading = Work {
@@ -104,7 +104,7 @@
     let order: Vec<u128> =
         load.of(&endpoint(1).id).prefills().map(|reader| reader.left.as_millis()).collect();
     assert_eq!(order, [200, 100, 30]);
-    // Requests wait to write on it, so it reads for most and not all of its time.
+    // Requests wait to decode on it, so it reads for most but not all of its time.
     load.advance(at(200));
     let left = load.of(&endpoint(1).id).backlog();
     assert!(left > ms(130) && left < ms(180), "{left:?}");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_prompt_larger_than_an_engines_memory_holds_the_rest_on_helpers() {
+fn a_prompt_larger_than_an_engines_memory_reserves_the_rest_on_helpers() {
     let mut scene = Scene::new(6);
     let placement = place(&mut scene, 800_000, 3_000, 800);
     let held: u64 = placement.held.iter().map(|held| held.tokens).sum();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn memory_that_is_taken_is_not_planned_with() {
+fn used_memory_is_not_available_for_placement() {
     let mut scene = Scene::new(2);
     let large = Work { memory_tokens: 300_000, ..work(1, ms(1)) };
     scene.load.place(at(0), work_id(1), large);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn work_that_nobody_ended_is_forgotten_after_its_deadline() {
+fn work_without_a_reported_end_is_dropped_after_its_deadline() {
     let mut load = LoadTracker::default();
     load.place(at(0), work_id(1), Work { until: at(1_000), ..work(1, ms(10)) });
     load.place(at(5_000), work_id(2), work(2, ms(10)));
@@ -142,9 +142,10 @@
     assert_eq!(load.open_requests(), 0);
 }
 
-/// Seen after a kill of all instances: for two seconds all chose the first engine.
+/// Guards against all instances choosing the same engine after all were killed; they did so for two
+/// seconds.
 #[test]
-fn instances_that_know_of_no_other_begin_with_different_engines() {
+fn instances_that_know_of_no_other_start_with_different_engines() {
     let first = |draw: fn(u64) -> Option<u64>| {
         let firsts = (0..9).map(|instance| {
             let mut scene = Scene { spread_seed: draw(instance), ..Scene::new(18) };
@@ -163,9 +164,9 @@
     assert_eq!(place(&mut scene, 3_000, 300, 200).lead, endpoint(2).id);
 }
 
-/// Word of its end was lost; what was placed a moment ago may have crossed the list.
+/// The message about its end was lost. Work placed a moment ago may be missing from the list.
 #[test]
-fn work_that_its_instance_no_longer_lists_has_ended() {
+fn work_missing_from_its_instances_list_has_ended() {
     let mut load = LoadTracker::default();
     load.place(at(0), work_id(1), work(1, ms(10)));
     load.place(at(0), work_id(2), work(2, ms(10)));
@@ -174,27 +175,29 @@
     assert_eq!(load.unlisted(at(1_000), 2, &[]), []);
 }
 
-/// Told again by another scheduler, its reading does not begin anew.
+/// Guards against restarting the prefill of work that another scheduler reports again.
 #[test]
-fn work_that_is_told_again_goes_on() {
+fn repeated_reports_do_not_restart_work() {
     let mut load = LoadTracker::default();
     load.merge_placed(at(0), work_id(1), work(1, ms(100)), false);
     load.advance(at(60));
     let left = load.of(&endpoint(1).id).backlog();
     load.merge_placed(at(60), work_id(1), work(1, ms(100)), false);
     assert_eq!(load.of(&endpoint(1).id).backlog(), left);
-    // Placed elsewhere by another one, that is where it runs.
+    // A report of a different placement replaces the known one.
     load.merge_placed(at(60), work_id(1), work(2, ms(100)), false);
     assert_eq!(load.of(&endpoint(1).id).backlog(), ms(0));
     assert_eq!(load.of(&endpoint(2).id).backlog(), ms(100));
 }
 
-/// A crowd of long prompts: the engines that have just read one seem free, as nothing is left to read and
-/// word of its first event is still under way. A part of two seconds that is given to its lead then holds
-/// up its stream for as long, where a second is allowed. Of twelve such pauses among 92 long prompts eleven
-/// were made by a part that was placed within a tenth of a second before or after the first event.
+/// Guards against placing a part on an engine that is about to start a stream. In a burst of long
+/// prompts, engines that have just read one seem free, as nothing is left to read and the message
+/// about the first event is still in transit. A part of two seconds placed on the lead then delays
+/// its stream for as long, where a second is allowed. Of twelve such pauses among 92 long prompts,
+/// eleven were caused by a part that was placed within a tenth of a second before or after the
+/// first event.
 #[test]
-fn a_part_is_kept_off_an_engine_that_is_about_to_write_for_a_long_prompt() {
+fn a_part_avoids_an_engine_that_is_about_to_decode_for_a_long_prompt() {
     for read_ms in [0, 50] {
         let mut scene = Scene::new(3);
         let lead = Work {
--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn of_runs_that_were_under_way_together_one_counts() {
+fn only_one_of_several_concurrent_runs_counts() {
     let mut quarantine = Quarantine::default();
     assert!(quarantine.strike(at(0), request(1), process(1), 0));
     assert!(!quarantine.strike(at(1), request(1), process(1), 0));
@@ -52,8 +52,8 @@
     assert_eq!(quarantine.state(request(1)), SuspectState::Suspect(2));
 }
 
-/// A call that all send came again to the endpoint that had just ended, was cut off there once more, and had two strikes
-/// by one process (soak, seed 202).
+/// Guards against two strikes by one process: a call that all clients send was sent again to the
+/// endpoint that had just ended and was cut off there once more (soak, seed 202).
 #[test]
 fn one_process_is_one_strike() {
     let mut quarantine = Quarantine::default();
@@ -62,10 +62,11 @@
     assert_eq!(quarantine.state(request(1)), SuspectState::Suspect(1));
 }
 
-/// A call with two strikes was put where the request that is to blame had been until 6 and 11 ms before, while
-/// that endpoint ended by it, and was held (soak, seeds 202 and 213).
+/// Guards against attributing a crash to a request that arrived just after its cause. A call with
+/// two strikes was placed where the request to blame had been until 6 and 11 ms before, while the
+/// endpoint was ending because of that request, and was held (soak, seeds 202 and 213).
 #[test]
-fn an_endpoint_counts_as_a_suspects_for_a_while_after_its_run() {
+fn a_suspect_counts_as_running_on_an_endpoint_for_a_while_after_its_run() {
     let mut load = LoadTracker::default();
     let on = endpoint(1).id;
     let suspects = |load: &LoadTracker, now| load.suspects_on(at(now), &on).collect::<Vec<_>>();
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn what_has_two_strikes_runs_beside_no_other_suspect_whichever_comes_later() {
+fn a_request_with_two_strikes_runs_beside_no_other_suspect_in_any_order() {
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(1), 1);
     struck(&mut quarantine, request(2), 1);
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn strikes_that_two_instances_note_at_once_are_one() {
+fn concurrent_strikes_on_two_instances_count_once() {
     let (mut one, mut two) = (Quarantine::default(), Quarantine::default());
     one.strike(at(0), request(1), process(1), 0);
     two.strike(at(0), request(1), process(2), 0);
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_run_that_ends_well_clears_also_against_late_word_of_former_strikes() {
+fn a_successful_run_clears_despite_late_records_of_earlier_strikes() {
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(1), 2);
     let late = quarantine.get(request(1)).unwrap().clone();
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn a_held_request_has_two_tries_at_most_until_one_ends_well() {
+fn a_held_request_has_at_most_two_tries_until_one_succeeds() {
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(1), STRIKES_TO_HOLD);
     let held = Timestamp(2_000);
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_suspect_is_forgotten_after_two_minutes_and_a_held_request_after_a_day() {
+fn a_suspect_expires_after_two_minutes_and_a_held_request_after_a_day() {
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(1), 1);
     struck(&mut quarantine, request(2), STRIKES_TO_HOLD);
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_held_requests_give_way_last() {
+fn records_are_bounded_and_held_requests_are_evicted_last() {
     let mut quarantine = Quarantine::default();
     let numbered = |number: u64| {
         let mut digest = [0; 32];
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn one_account_changing_its_requests_pushes_out_no_held_one_of_another() {
+fn varying_requests_of_one_account_do_not_evict_a_held_one_of_another() {
     let mut quarantine = Quarantine::default();
     struck(&mut quarantine, request(255), STRIKES_TO_HOLD);
     for number in 0..5_000u64 {
@@ -177,8 +178,9 @@
     assert_eq!(quarantine.state(request(255)), SuspectState::Held);
 }
 
-/// One event at one of three instances: a strike, a run that ends well, or word to another one.
-fn play(instances: &mut [Quarantine; 3], now: Timestamp, event: u8) {
+/// One event at one of three instances: a strike, a successful run, or a message to another
+/// instance.
+fn apply_event(instances: &mut [Quarantine; 3], now: Timestamp, event: u8) {
     let of = request(event % 2);
     let one = usize::from(event / 2 % 3);
     match event / 6 % 4 {
@@ -204,10 +206,10 @@
 }
 
 quickcheck! {
-    fn instances_that_told_each_other_all_decide_alike(events: Vec<u8>) -> TestResult {
+    fn instances_that_exchanged_all_records_decide_alike(events: Vec<u8>) -> TestResult {
         let mut instances: [Quarantine; 3] = Default::default();
         for (number, event) in events.iter().enumerate() {
-            play(&mut instances, at(number as u64), *event);
+            apply_event(&mut instances, at(number as u64), *event);
         }
         let end = at(events.len() as u64);
         for _ in 0..2 {
@@ -217,10 +219,10 @@
         TestResult::from_bool(states.iter().all(|s| s[0] == s[1] && s[1] == s[2]))
     }
 
-    fn word_that_comes_twice_changes_nothing(events: Vec<u8>) -> bool {
+    fn a_repeated_record_changes_nothing(events: Vec<u8>) -> bool {
         let mut instances: [Quarantine; 3] = Default::default();
         for (number, event) in events.iter().enumerate() {
-            play(&mut instances, at(number as u64), *event);
+            apply_event(&mut instances, at(number as u64), *event);
         }
         let own: Vec<Suspicion> =
             [request(0), request(1)].iter().filter_map(|of| instances[0].get(*of).cloned()).collect();
@@ -234,7 +236,7 @@
 }
 
 #[test]
-fn a_suspect_is_put_beside_no_other_and_all_else_is_put_as_ever() {
+fn a_suspect_is_placed_beside_no_other_and_other_requests_are_placed_as_usual() {
     let mut scene = Scene::new(3);
     let suspect = |lead| ringbend_gateway::Work { suspect: Some(request(1)), ..work(lead, ms(1)) };
     scene.load.place(at(0), work_id(1), suspect(1));
@@ -250,7 +252,7 @@
 }
 
 #[test]
-fn runs_that_began_before_their_request_was_suspected_count_as_its_own() {
+fn runs_that_began_before_their_request_was_suspected_are_attributed_to_it() {
     let mut scene = Scene::new(2);
     scene.load.place(at(0), work_id(1), work(0, ms(1)));
     assert!(scene.load.last_placed(request(1)).is_none());
--- a/crates/ringbend-gateway/tests/retries.rs
+++ b/crates/ringbend-gateway/tests/retries.rs
@@ -1,4 +1,4 @@
-//! How often a request is sent, and that all instances together keep to the budget.
+//! How often a request is sent, and that all instances together stay within the retry budget.
 
 mod support;
 
@@ -14,19 +14,20 @@
 const BOUNDS: RetryBudgetBounds =
     RetryBudgetBounds { ratio: 0.2, window: Duration::from_secs(10), allowance: 106.0 };
 
-/// A budget that limits nothing: one request allows a million repeats.
-fn free_budget() -> RetryBudget {
+/// A budget without effective limit: one request allows a million retries.
+fn unlimited_budget() -> RetryBudget {
     let mut budget = RetryBudget::new(RetryBudgetBounds { ratio: 1e7, ..BOUNDS });
     budget.record_request(at(0), &service("s"));
     budget
 }
 
-const ENDS: [SendOutcome; 4] =
+const OUTCOMES: [SendOutcome; 4] =
     [SendOutcome::NotSent, SendOutcome::NotRun, SendOutcome::Unknown, SendOutcome::FailedAnswer];
 
-/// Walks all series of six ends and checks what each request was run and told.
+/// Tries all sequences of six outcomes and checks how often each request ran and what its caller
+/// was told.
 #[test]
-fn no_series_of_ends_runs_a_request_too_often_or_tells_an_untrue_not_run() {
+fn no_sequence_of_outcomes_runs_a_request_too_often_or_reports_a_false_not_run() {
     for repeat in [RepeatPolicy::AtMostOnce, RepeatPolicy::Idempotent, RepeatPolicy::Resumable] {
         for max_runs in 1..=3 {
             for series in 0..4usize.pow(6) {
@@ -38,9 +39,9 @@
 
 fn walk(repeat: RepeatPolicy, max_runs: u8, mut series: usize) {
     let mut attempts = Attempts::new(repeat, max_runs, at(1_000));
-    let (mut budget, mut runs) = (free_budget(), 0);
+    let (mut budget, mut runs) = (unlimited_budget(), 0);
     for _ in 0..6 {
-        let end = ENDS[series % 4];
+        let end = OUTCOMES[series % 4];
         series /= 4;
         attempts.record_send(&endpoint(1).id);
         runs += u8::from(matches!(end, SendOutcome::Unknown | SendOutcome::FailedAnswer));
@@ -57,41 +58,46 @@
 #[test]
 fn nothing_is_sent_after_the_deadline() {
     let mut attempts = Attempts::new(RepeatPolicy::Idempotent, 3, at(1_000));
-    let next =
-        attempts.record_outcome(at(1_000), SendOutcome::NotSent, &service("s"), &mut free_budget());
+    let next = attempts.record_outcome(
+        at(1_000),
+        SendOutcome::NotSent,
+        &service("s"),
+        &mut unlimited_budget(),
+    );
     assert_eq!(next, NextStep::GiveUp(RunState::NotRun));
-    assert!(!attempts.replace_silent(at(1_000), &service("s"), &mut free_budget()));
+    assert!(!attempts.replace_silent(at(1_000), &service("s"), &mut unlimited_budget()));
 }
 
 #[test]
-fn silence_leads_to_another_run_only_where_one_is_allowed() {
+fn silence_leads_to_another_run_only_if_one_is_allowed() {
     let may = |repeat, runs| {
         let mut attempts = Attempts::new(repeat, runs, at(1_000));
-        attempts.replace_silent(at(1), &service("s"), &mut free_budget())
+        attempts.replace_silent(at(1), &service("s"), &mut unlimited_budget())
     };
     assert!(may(RepeatPolicy::Resumable, 2));
     assert!(!may(RepeatPolicy::Resumable, 1));
     assert!(!may(RepeatPolicy::AtMostOnce, 2));
 }
 
-/// Whether any window has more repeats than the requests allow that came in it, in the one before or in
-/// the one half a window before, whichever had most.
-fn over_budget(bounds: &RetryBudgetBounds, requests: &[Timestamp], repeats: &[Timestamp]) -> bool {
+/// Whether any window has more retries than allowed for the requests of that window, of the one
+/// before or of the one half a window before, whichever had the most.
+fn over_budget(bounds: &RetryBudgetBounds, requests: &[Timestamp], retries: &[Timestamp]) -> bool {
     let within = |times: &[Timestamp], from: Timestamp, to: Timestamp| {
         times.iter().filter(|at| **at >= from && **at <= to).count() as f64
     };
-    repeats.iter().any(|to| {
+    retries.iter().any(|to| {
         let from = *to - bounds.window;
         let asked = |earlier: Duration| within(requests, from - earlier, *to - earlier);
         let earlier = [Duration::ZERO, bounds.window / 2, bounds.window];
         let asked = earlier.into_iter().map(asked).fold(0.0, f64::max);
-        within(repeats, from, *to) > bounds.ratio * asked + bounds.allowance
+        within(retries, from, *to) > bounds.ratio * asked + bounds.allowance
     })
 }
 
 quickcheck! {
-    /// Instances that take what they can, some of which die and come back without their count.
-    fn all_instances_together_keep_to_the_budget(steps: Vec<(u8, u8, bool)>) -> bool {
+    /// Instances that take every retry they can, some of which are killed and restart without their
+    /// counts.
+    fn all_instances_together_stay_within_the_budget(steps: Vec<(u8, u8, bool)>) -> bool {
         const INSTANCES: usize = 9;
         let new = || {
             let mut budget = RetryBudget::new(BOUNDS);
@@ -99,7 +105,7 @@
             budget
         };
         let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| new()).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         // They have known each other for long.
         let (mut now, name, mut restarts) = (at(60_000), service("s"), 0);
         for (who, pause, restart) in steps {
@@ -107,29 +113,30 @@
             let budget = &mut budgets[usize::from(who) % INSTANCES];
             budget.record_request(now, &name);
             requests.push(now);
-            // The allowance of three more instances is kept back, so as many may restart.
+            // The allowance leaves a margin for three more instances, so as many may restart.
             if restart && who % 50 == 0 && restarts < 3 {
                 *budget = new();
                 restarts += 1;
             }
             while budget.take(now, &name) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
-        !over_budget(&BOUNDS, &requests, &repeats)
+        !over_budget(&BOUNDS, &requests, &retries)
     }
 }
 
-/// Instances that have lost each other and the store know of no other for a while, and then of a few.
-/// Each took the part of one among twelve: five times the allowance.
+/// Guards against instances that overestimate their share of the allowance. Instances that have
+/// lost each other and the store know of no other for a while, and then of a few. Each took the
+/// share of one in twelve: five times the allowance.
 #[test]
-fn instances_that_do_not_know_yet_how_many_there_are_keep_to_the_budget_together() {
+fn instances_that_do_not_know_their_number_yet_stay_within_the_budget_together() {
     const INSTANCES: usize = 79;
     let name = service("s");
-    // The allowance of that deployment.
+    // The allowance of the deployment where this occurred.
     let bounds = RetryBudgetBounds { allowance: 234.0, ..BOUNDS };
     let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| RetryBudget::new(bounds)).collect();
-    let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..9_000).step_by(100) {
         let now = at(60_000 + ms);
         let known = match ms {
@@ -144,23 +151,23 @@
                 requests.push(now);
             }
             while budget.take(now, &name) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
-    assert!(!over_budget(&bounds, &requests, &repeats), "{} repeats", repeats.len());
-    // Two of the 18 requests of each may be repeated at any time.
-    assert!(repeats.len() >= 2 * INSTANCES, "{} repeats", repeats.len());
+    assert!(!over_budget(&bounds, &requests, &retries), "{} retries", retries.len());
+    // Two of the 18 requests of each instance may be retried in any case.
+    assert!(retries.len() >= 2 * INSTANCES, "{} retries", retries.len());
 }
 
-/// All instances are killed in the midst of trouble, and come back without their count to callers who do
-/// too. Each spends its part of the allowance before and after, and as many repeats as its own requests
-/// allow.
+/// Guards against exceeding the budget when all instances are killed during a failure and restart
+/// without their counts, as callers return. Each uses its share of the allowance before and after,
+/// and as many retries as its own requests allow.
 #[test]
-fn instances_that_all_start_again_keep_to_the_budget_together() {
+fn instances_that_all_restart_stay_within_the_budget_together() {
     const INSTANCES: usize = 80;
     let name = service("s");
-    // The bounds of that deployment.
+    // The bounds of the deployment where this occurred.
     let bounds = RetryBudgetBounds { allowance: 235.0, ..BOUNDS };
     let new = |now| {
         let mut budget = RetryBudget::new(bounds);
@@ -168,7 +175,7 @@
         budget
     };
     let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| new(at(0))).collect();
-    let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..20_000).step_by(100) {
         let now = at(60_000 + ms);
         if ms == 10_000 {
@@ -179,11 +186,11 @@
                 budget.record_request(now, &name);
                 requests.push(now);
             }
-            // Trouble begins a second before the kill.
+            // The failure begins a second before the kill.
             while ms >= 9_000 && budget.take(now, &name) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
-    assert!(!over_budget(&bounds, &requests, &repeats), "{} repeats", repeats.len());
+    assert!(!over_budget(&bounds, &requests, &retries), "{} retries", retries.len());
 }
--- a/crates/ringbend-gateway/tests/schedulers.rs
+++ b/crates/ringbend-gateway/tests/schedulers.rs
@@ -1,5 +1,5 @@
-//! Which instances schedule, and how many tell how many others: a fleet of some hundred instances
-//! whose processor time would go into telling each other of every placement if all did.
+//! Which instances schedule, and how many messages they exchange. In a fleet of a few hundred
+//! instances, reporting every placement to all would use up the processor time.
 
 mod support;
 
@@ -13,12 +13,12 @@
 use ringbend_types::{DataCentre, Timestamp};
 use support::{at, ms};
 
-/// Thousandths of a core of the larger instances, and of the others.
+/// The capacity of the larger instances and of the others, in thousandths of a core.
 const LARGE: u32 = 500;
 const SMALL: u32 = 120;
 
-/// The larger instances of each data centre; they listen at its highest addresses.
-const LARGE_ONES: usize = 3;
+/// The number of larger instances per data centre; they have its highest addresses.
+const LARGE_PER_CENTRE: usize = 3;
 
 fn address(centre: usize, number: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, centre as u8, number as u8), 7_000)
@@ -28,27 +28,28 @@
     format!("dc-{centre}").parse().unwrap()
 }
 
-/// Instances that hear each other whenever one tells another something.
+/// Instances that exchange digests.
 struct Fleet {
     now: Timestamp,
     instances: BTreeMap<SocketAddrV4, (usize, u32, Peers)>,
-    told: usize,
+    sent_count: usize,
 }
 
 impl Fleet {
-    /// Each instance greets the best placed ones of all data centres, as after a read of their rows.
+    /// Each instance greets the best-ranked ones of all data centres, as after reading their rows.
     fn start(centres: usize, each: usize) -> Self {
-        let mut fleet = Self { now: at(1_000), instances: BTreeMap::new(), told: 0 };
+        let mut fleet = Self { now: at(1_000), instances: BTreeMap::new(), sent_count: 0 };
         for centre in 0..centres {
             for number in 0..each {
-                let capacity = if number + LARGE_ONES >= each { LARGE } else { SMALL };
+                let capacity = if number + LARGE_PER_CENTRE >= each { LARGE } else { SMALL };
                 let own = InstanceRank::new(capacity, address(centre, number));
                 let peers = Peers::new(fleet.now, data_centre(centre), own);
                 fleet.instances.insert(own.address(), (centre, capacity, peers));
             }
         }
-        fleet.take_up();
-        let best = |c: usize| (each.saturating_sub(LARGE_ONES)..each).map(move |n| address(c, n));
+        fleet.assign_initial_roles();
+        let best =
+            |c: usize| (each.saturating_sub(LARGE_PER_CENTRE)..each).map(move |n| address(c, n));
         let greeted: Vec<SocketAddrV4> = (0..centres).flat_map(best).collect();
         for from in fleet.addresses() {
             for to in &greeted {
@@ -59,8 +60,9 @@
         fleet
     }
 
-    /// Each that finds itself among the best placed of its rows schedules at once.
-    fn take_up(&mut self) {
+    /// Each instance that finds itself among the best-ranked of the rows becomes a scheduler at
+    /// once.
+    fn assign_initial_roles(&mut self) {
         let standings: Vec<(usize, InstanceRank)> = self
             .instances
             .iter()
@@ -69,8 +71,8 @@
             })
             .collect();
         for (centre, _, peers) in self.instances.values_mut() {
-            let at_home = standings.iter().filter(|(other, _)| other == centre);
-            if peers.is_needed_beside(at_home.map(|(_, standing)| *standing)) {
+            let local = standings.iter().filter(|(other, _)| other == centre);
+            if peers.is_needed_beside(local.map(|(_, standing)| *standing)) {
                 peers.become_scheduler();
             }
         }
@@ -80,26 +82,26 @@
         self.instances.keys().copied().collect()
     }
 
-    /// One instance tells another that it is there, and what part it has.
+    /// Sends a digest with the status of one instance to another.
     fn tell(&mut self, from: SocketAddrV4, to: SocketAddrV4) {
         if from == to || !self.instances.contains_key(&to) {
             return;
         }
-        self.told += 1;
+        self.sent_count += 1;
         let (centre, capacity, peers) = &self.instances[&from];
         let (centre, capacity) = (data_centre(*centre), *capacity);
         let instances = peers.local_instances(self.now);
         let part = PeerStatus { role: peers.role(), instances, fleet: peers.instances(self.now) };
         let start = u64::from(u32::from(*from.ip()));
-        let (_, _, hearer) = self.instances.get_mut(&to).unwrap();
-        hearer.record_digest(self.now, from, start);
-        hearer.describe(from, centre, capacity);
-        hearer.set_status(from, part);
-        hearer.update_role(self.now);
+        let (_, _, recipient) = self.instances.get_mut(&to).unwrap();
+        recipient.record_digest(self.now, from, start);
+        recipient.describe(from, centre, capacity);
+        recipient.set_status(from, part);
+        recipient.update_role(self.now);
     }
 
-    /// Whom an instance tells that it is there.
-    fn audience(&self, from: SocketAddrV4) -> Vec<SocketAddrV4> {
+    /// The instances to which an instance sends its digest.
+    fn recipients(&self, from: SocketAddrV4) -> Vec<SocketAddrV4> {
         let (_, _, peers) = &self.instances[&from];
         if peers.schedules() {
             peers.other_schedulers(self.now).into_iter().chain(peers.members(self.now)).collect()
@@ -108,13 +110,13 @@
         }
     }
 
-    /// A heartbeat of all instances.
+    /// One heartbeat of all instances.
     fn beat(&mut self) {
         self.now = self.now + HEARTBEAT_INTERVAL;
         for from in self.addresses() {
             self.instances.get_mut(&from).unwrap().2.sweep(self.now);
             self.instances.get_mut(&from).unwrap().2.update_role(self.now);
-            for to in self.audience(from) {
+            for to in self.recipients(from) {
                 self.tell(from, to);
             }
             for to in self.instances[&from].2.promotion_candidates(self.now) {
@@ -126,13 +128,13 @@
     }
 
     fn schedulers(&self, centre: usize) -> Vec<SocketAddrV4> {
-        let at_home = self.instances.iter().filter(|(_, (home, _, _))| *home == centre);
-        at_home.filter(|(_, (_, _, peers))| peers.schedules()).map(|(a, _)| *a).collect()
+        let local = self.instances.iter().filter(|(_, (home, _, _))| *home == centre);
+        local.filter(|(_, (_, _, peers))| peers.schedules()).map(|(a, _)| *a).collect()
     }
 }
 
 #[test]
-fn all_schedule_where_there_are_few() {
+fn all_instances_of_a_small_fleet_schedule() {
     let mut fleet = Fleet::start(3, SCHEDULERS_PER_DATA_CENTRE);
     fleet.beat();
     assert!(fleet.instances.values().all(|(_, _, peers)| peers.schedules()));
@@ -141,10 +143,10 @@
     );
 }
 
-/// After a loss of all nobody schedules yet. Where each that hears no scheduler became one, all did,
-/// and each of them was told of by the others.
+/// Guards against too many schedulers after a loss of all instances. When each instance that heard
+/// no scheduler became one, all did, and each received the reports of all others.
 #[test]
-fn those_with_most_processor_time_schedule_and_nobody_else_does_meanwhile() {
+fn only_instances_with_the_most_processor_time_schedule_from_the_start() {
     let fleet = Fleet::start(5, 59);
     for centre in 0..5 {
         let best: Vec<SocketAddrV4> = (56..59).map(|number| address(centre, number)).collect();
@@ -152,9 +154,9 @@
     }
 }
 
-/// The best placed may be the last to start; until then others do their part.
+/// The best-ranked instances may be the last to start; until then others schedule.
 #[test]
-fn instances_that_hear_nobody_schedule_until_better_placed_ones_do() {
+fn instances_that_hear_no_other_schedule_until_better_ranked_ones_do() {
     let own = |number| InstanceRank::new(SMALL, address(0, number));
     let mut late = Peers::new(at(0), data_centre(0), own(9));
     assert!(!late.update_role(at(100)));
@@ -171,9 +173,9 @@
     assert_eq!(late.role(), Role::Member);
 }
 
-/// Each of five would go on if it heard but the best of the others.
+/// Each of five schedulers would continue if it heard only the best-ranked of the others.
 #[test]
-fn schedulers_beyond_enough_hear_the_best_and_leave_it_to_them() {
+fn surplus_schedulers_hear_the_best_ranked_and_become_members() {
     let mut fleet = Fleet::start(1, 8);
     for number in 0..4 {
         let (_, _, peers) = fleet.instances.get_mut(&address(0, number)).unwrap();
@@ -183,9 +185,9 @@
     assert_eq!(fleet.schedulers(0).len(), SCHEDULERS_PER_DATA_CENTRE);
 }
 
-/// One that did not answer may have started since; one that is heard needs no greeting.
+/// A peer that did not answer may have started since; a peer that is alive needs no greeting.
 #[test]
-fn an_instance_that_was_not_there_is_greeted_again() {
+fn an_instance_that_did_not_answer_is_greeted_again() {
     let mut peers = Peers::new(at(0), data_centre(0), InstanceRank::new(SMALL, address(0, 0)));
     let other = address(0, 1);
     assert!(peers.begin_greeting(at(0), other));
@@ -196,30 +198,31 @@
     assert!(peers.begin_greeting(at(101) + PEER_TIMEOUT, other));
 }
 
-/// A placement is told to the other schedulers alone. With 300 instances and as many placements a
-/// second, telling everyone takes 90,000 datagrams a second; heartbeats take as many.
+/// A placement is reported to the other schedulers only. With 300 instances and as many placements
+/// per second, reporting it to all would take 90,000 datagrams per second, and as many for
+/// heartbeats.
 #[test]
-fn what_an_instance_tells_does_not_grow_with_the_fleet() {
+fn messages_per_instance_do_not_grow_with_the_fleet() {
     for each in [6, 20, 60] {
         let mut fleet = Fleet::start(5, each);
         fleet.beat();
-        fleet.told = 0;
+        fleet.sent_count = 0;
         fleet.beat();
         let instances = 5 * each;
-        // Three schedulers of each of five data centres, and three of the own one for each instance.
+        // Three schedulers in each of five data centres, and for each instance three in its own.
         assert!(
-            fleet.told <= 15 * 14 + 2 * SCHEDULERS_PER_DATA_CENTRE * instances,
+            fleet.sent_count <= 15 * 14 + 2 * SCHEDULERS_PER_DATA_CENTRE * instances,
             "{} by {instances}",
-            fleet.told
+            fleet.sent_count
         );
         let fellows = |peers: &Peers| peers.other_schedulers(fleet.now).len();
         assert!(fleet.instances.values().all(|(_, _, peers)| fellows(peers) <= 15));
     }
 }
 
-/// The retry budget is shared out by this number.
+/// The retry budget is divided by this number.
 #[test]
-fn each_instance_knows_how_many_there_are() {
+fn each_instance_knows_the_size_of_the_fleet() {
     let mut fleet = Fleet::start(5, 60);
     (0..3).for_each(|_| fleet.beat());
     for (address, (_, _, peers)) in &fleet.instances {
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn lost_schedulers_are_replaced_by_the_next_best_and_by_no_more() {
+fn lost_schedulers_are_replaced_by_as_many_next_best_ones() {
     let mut fleet = Fleet::start(2, 20);
     fleet.beat();
     fleet.instances.remove(&address(0, 19));
@@ -256,16 +259,17 @@
     assert_eq!(fleet.schedulers(1).len(), SCHEDULERS_PER_DATA_CENTRE);
 }
 
-/// Nobody is left who knows the others of that data centre: each begins by itself.
+/// No remaining instance knows the others of that data centre, so each starts to schedule by
+/// itself.
 #[test]
-fn instances_that_lost_all_their_schedulers_begin_to_schedule() {
+fn instances_that_lost_all_their_schedulers_start_to_schedule() {
     let mut fleet = Fleet::start(2, 20);
     fleet.beat();
     (17..20).for_each(|number| drop(fleet.instances.remove(&address(0, number))));
     let beats = PEER_TIMEOUT.as_millis() / HEARTBEAT_INTERVAL.as_millis() + 2;
     (0..beats).for_each(|_| fleet.beat());
     assert_eq!(fleet.schedulers(0).len(), 17);
-    // Once they hear each other again, as after a read of their rows, three are enough.
+    // Once they hear each other again, as after reading their rows, three suffice.
     for from in fleet.addresses() {
         for number in 0..3 {
             fleet.tell(address(0, number), from);
@@ -275,7 +279,7 @@
 }
 
 #[test]
-fn a_scheduler_that_did_not_answer_is_passed_over_until_it_is_heard_again() {
+fn an_unresponsive_scheduler_is_skipped_until_it_is_heard_again() {
     let mut fleet = Fleet::start(1, 10);
     fleet.beat();
     let member = address(0, 0);
@@ -286,7 +290,7 @@
     assert_ne!(second, first);
     let third = fleet.instances[&member].2.scheduler(now, &[second]).unwrap();
     assert!(![first, second].contains(&third));
-    // Silence alone does not bring it back; a word after a while does.
+    // Time without a digest does not make it usable again; a digest after a while does.
     let later = now + ms(1_500);
     assert_eq!(fleet.instances[&member].2.scheduler(later, &[]), Some(second));
     fleet.now = later;
@@ -294,20 +298,21 @@
     assert_eq!(fleet.instances[&member].2.scheduler(later, &[]), Some(first));
 }
 
-/// Whoever suspects an engine has it asked by the same one, and no scheduler asks most of them.
+/// The same scheduler queries an engine whichever instance suspects it, and no scheduler queries
+/// most of them.
 #[test]
-fn one_scheduler_asks_each_engine_whoever_suspects_it() {
+fn one_scheduler_queries_each_engine_whichever_instance_suspects_it() {
     let fleet = Fleet::start(3, 10);
     let schedulers: Vec<SocketAddrV4> = (0..3).flat_map(|c| fleet.schedulers(c)).collect();
-    let mut asks: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
+    let mut queries: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
     for engine in support::fleet(60) {
-        let asker = |own: &SocketAddrV4| {
+        let prober = |own: &SocketAddrV4| {
             let (_, _, peers) = &fleet.instances[own];
             peers.probing_scheduler(fleet.now, &engine.id).unwrap_or(*own)
         };
-        let askers: BTreeSet<SocketAddrV4> = schedulers.iter().map(asker).collect();
-        assert_eq!(askers.len(), 1, "{engine:?}");
-        askers.into_iter().for_each(|asker| *asks.entry(asker).or_default() += 1);
+        let probers: BTreeSet<SocketAddrV4> = schedulers.iter().map(prober).collect();
+        assert_eq!(probers.len(), 1, "{engine:?}");
+        probers.into_iter().for_each(|prober| *queries.entry(prober).or_default() += 1);
     }
-    assert!(asks.len() >= 7 && asks.values().all(|asked| *asked <= 20), "{asks:?}");
+    assert!(queries.len() >= 7 && queries.values().all(|asked| *asked <= 20), "{queries:?}");
 }
--- a/crates/ringbend-gateway/tests/support/mod.rs
+++ b/crates/ringbend-gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders for the tests of decisions.
+//! Shared builders for the tests.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -24,7 +24,7 @@
     name.parse().unwrap()
 }
 
-/// The engines of the deployments that were measured.
+/// The engines of the measured deployments.
 pub fn profile() -> EngineProfile {
     EngineProfile {
         slots: 16,
@@ -60,7 +60,7 @@
     WorkId { instance: 1, sequence }
 }
 
-/// Work of one part on the endpoint with this number.
+/// Work with one part on the endpoint with this number.
 pub fn work(lead: usize, part: Duration) -> Work {
     Work {
         lead: endpoint(lead).id,
@@ -77,7 +77,7 @@
     }
 }
 
-/// What one instance before some engines knows.
+/// The state of one instance that uses a set of engines.
 pub struct Scene {
     pub fleet: Vec<Endpoint>,
     pub load: LoadTracker,
--- a/crates/ringbend-gateway/tests/turns.rs
+++ b/crates/ringbend-gateway/tests/turns.rs
@@ -1,4 +1,4 @@
-//! When long prompts are sent, and which engines they keep off.
+//! When long prompts are sent, and which engines they avoid.
 
 mod support;
 
@@ -9,7 +9,7 @@
 };
 use support::{Scene, at, endpoint, ms, profile, service, work, work_id};
 
-/// Long prompts that wait.
+/// Waiting long prompts.
 struct Queue(Scene);
 
 impl Queue {
@@ -17,8 +17,8 @@
         Self(Scene::new(engines))
     }
 
-    /// All engines read for so long.
-    fn reading(mut self, left_ms: u64) -> Self {
+    /// All engines have this much time left to read.
+    fn with_backlog(mut self, left_ms: u64) -> Self {
         for engine in 1..=self.0.fleet.len() {
             let helpers = [endpoint(engine % self.0.fleet.len() + 1).id].into_iter().collect();
             let long = Work { long: true, helpers, ..work(engine, ms(left_ms / 2)) };
@@ -27,8 +27,8 @@
         self
     }
 
-    /// A prompt that one engine reads for `read_ms`, and whose first event is due at `due_ms`.
-    fn waits(mut self, id: u64, read_ms: u64, since_ms: u64, due_ms: u64) -> Self {
+    /// Adds a prompt that one engine reads for `read_ms`, and whose first event is due at `due_ms`.
+    fn with_waiting(mut self, id: u64, read_ms: u64, since_ms: u64, due_ms: u64) -> Self {
         let waiting = WaitingPrompt {
             service: service("engines"),
             read: ms(read_ms),
@@ -47,8 +47,8 @@
     }
 
     fn turn_of(&self, id: u64, passed_over_for: Duration, prompt_tokens: u64) -> Turn {
-        let claim = QueuedPrompt { id: work_id(id), passed_over_for, goal: goal(prompt_tokens) };
-        decide_turn(self.0.view(), &profile(), &self.0.candidates(), &claim)
+        let prompt = QueuedPrompt { id: work_id(id), passed_over_for, goal: goal(prompt_tokens) };
+        decide_turn(self.0.view(), &profile(), &self.0.candidates(), &prompt)
     }
 
     fn turn_after(&self, id: u64, passed_over_for: Duration) -> Turn {
@@ -59,10 +59,10 @@
         self.turn_after(id, Duration::ZERO)
     }
 
-    /// The turn of a prompt of so many tokens.
+    /// The turn of a prompt with this many tokens.
     fn turn_of_tokens(mut self, prompt_tokens: u64) -> Turn {
         let read_ms = profile().prefill_ms(prompt_tokens) as u64;
-        self = self.waits(100, read_ms, 0, 3_000);
+        self = self.with_waiting(100, read_ms, 0, 3_000);
         self.turn_of(100, Duration::ZERO, prompt_tokens)
     }
 
@@ -79,63 +79,68 @@
 }
 
 #[test]
-fn a_long_prompt_goes_at_once_where_engines_have_nothing_to_read() {
-    assert_eq!(Queue::new(6).waits(100, 2_000, 0, 3_000).turn(100), Turn::Now);
+fn a_long_prompt_is_sent_at_once_if_engines_have_nothing_to_read() {
+    assert_eq!(Queue::new(6).with_waiting(100, 2_000, 0, 3_000).turn(100), Turn::Now);
 }
 
-/// Sent at once, it would be read before all that is being read, and make that late.
+/// Sent at once, it would be read before everything that is being read, and make that late.
 #[test]
 fn a_long_prompt_waits_while_engines_read() {
-    let queue = Queue::new(6).reading(500).waits(100, 2_000, 0, 3_000);
+    let queue = Queue::new(6).with_backlog(500).with_waiting(100, 2_000, 0, 3_000);
     let Turn::After(left) = queue.turn(100) else { panic!("{:?}", queue.turn(100)) };
     assert!(left > ms(400) && left <= ms(500), "{left:?}");
     assert_eq!(queue.at(700).turn(100), Turn::Now);
 }
 
 #[test]
-fn the_prompt_that_is_due_first_goes_first() {
-    let queue = Queue::new(6).waits(100, 3_000, 0, 4_000).waits(101, 3_000, 100, 3_500);
+fn the_prompt_that_is_due_first_is_sent_first() {
+    let queue =
+        Queue::new(6).with_waiting(100, 3_000, 0, 4_000).with_waiting(101, 3_000, 100, 3_500);
     assert_eq!(queue.turn(101), Turn::Now);
     assert_eq!(queue.turn(100), Turn::PassedOver);
 }
 
 #[test]
-fn prompts_that_need_few_engines_go_beside_each_other() {
-    let queue = Queue::new(6).waits(100, 1_000, 0, 3_000).waits(101, 1_000, 0, 3_000);
+fn prompts_that_need_few_engines_are_sent_side_by_side() {
+    let queue = Queue::new(6).with_waiting(100, 1_000, 0, 3_000).with_waiting(101, 1_000, 0, 3_000);
     assert_eq!(queue.turn(100), Turn::Now);
     assert_eq!(queue.turn(101), Turn::Now);
 }
 
-/// Six engines read 6 s of prompts in one second: either the long one is on time, or the two others.
+/// Six engines read 6 s of prompts in one second: either the long one is on time, or the two
+/// others.
 #[test]
-fn the_longest_gives_way_where_not_all_can_be_on_time() {
+fn the_longest_prompt_yields_if_not_all_can_be_on_time() {
     let queue = Queue::new(6)
-        .waits(100, 6_000, 0, 1_200)
-        .waits(101, 2_400, 0, 1_300)
-        .waits(102, 2_400, 0, 1_400);
+        .with_waiting(100, 6_000, 0, 1_200)
+        .with_waiting(101, 2_400, 0, 1_300)
+        .with_waiting(102, 2_400, 0, 1_400);
     assert_eq!(queue.turn(101), Turn::Now);
     assert_eq!(queue.turn(100), Turn::PassedOver);
 }
 
 #[test]
-fn a_prompt_that_has_waited_for_long_goes_first_however_late() {
-    let queue =
-        Queue::new(6).waits(100, 12_000, 0, 3_000).waits(101, 2_400, 9_000, 12_500).at(9_100);
+fn a_prompt_that_has_waited_long_is_sent_first_however_late() {
+    let queue = Queue::new(6)
+        .with_waiting(100, 12_000, 0, 3_000)
+        .with_waiting(101, 2_400, 9_000, 12_500)
+        .at(9_100);
     assert_eq!(queue.turn(100), Turn::Now);
     assert_eq!(queue.turn(101), Turn::PassedOver);
 }
 
-/// The instance of the first may have been killed; others hear of it only seconds later.
+/// The instance of the first prompt may have been killed; others learn of it only seconds later.
 #[test]
-fn room_that_stands_unused_is_taken_by_the_next() {
-    let queue = Queue::new(6).waits(100, 3_600, 0, 3_500).waits(101, 3_600, 100, 4_000);
+fn unused_engines_are_given_to_the_next_prompt() {
+    let queue =
+        Queue::new(6).with_waiting(100, 3_600, 0, 3_500).with_waiting(101, 3_600, 100, 4_000);
     assert_eq!(queue.turn_after(101, ms(10)), Turn::PassedOver);
     assert_eq!(queue.turn_after(101, ms(40)), Turn::Now);
 }
 
 #[test]
-fn a_prompt_of_another_service_holds_nobody_up() {
-    let mut queue = Queue::new(6).waits(101, 3_600, 100, 4_000);
+fn a_prompt_of_another_service_blocks_no_prompt() {
+    let mut queue = Queue::new(6).with_waiting(101, 3_600, 100, 4_000);
     let other = WaitingPrompt {
         service: service("other"),
         read: ms(3_600),
@@ -148,23 +153,25 @@
 }
 
 #[test]
-fn a_prompt_that_waits_no_more_holds_nobody_up() {
-    let mut queue = Queue::new(6).waits(100, 3_600, 0, 3_500).waits(101, 3_600, 100, 4_000);
+fn a_prompt_that_no_longer_waits_blocks_no_prompt() {
+    let mut queue =
+        Queue::new(6).with_waiting(100, 3_600, 0, 3_500).with_waiting(101, 3_600, 100, 4_000);
     queue.0.load.end(at(0), work_id(100));
     assert_eq!(queue.turn(101), Turn::Now);
-    let mut queue = Queue::new(6).waits(100, 3_600, 0, 3_500).waits(101, 3_600, 100, 4_000);
+    let mut queue =
+        Queue::new(6).with_waiting(100, 3_600, 0, 3_500).with_waiting(101, 3_600, 100, 4_000);
     queue.0.load.forget_instance(at(0), 1);
     assert_eq!(queue.0.load.waiting().count(), 0);
 }
 
 #[test]
-fn a_prompt_that_cannot_be_read_before_its_caller_leaves_is_given_up_at_once() {
-    let queue = Queue::new(6).reading(4_000).waits(100, 12_000, 0, 3_000);
+fn a_prompt_that_cannot_be_read_before_its_caller_disconnects_fails_at_once() {
+    let queue = Queue::new(6).with_backlog(4_000).with_waiting(100, 12_000, 0, 3_000);
     assert!(matches!(queue.turn(100), Turn::After(_)), "{:?}", queue.turn(100));
     assert_eq!(queue.at(13_500).turn(100), Turn::TooLate);
 }
 
-/// Sixteen engines, of which short prompts that write have filled so many.
+/// Sixteen engines, of which this many are filled by short prompts that decode.
 fn beside_short_prompts(engines: u64) -> Queue {
     let mut queue = Queue::new(16);
     for n in 0..engines * 15 {
@@ -175,16 +182,16 @@
     queue
 }
 
-/// A crowd of short prompts after long ones: one of 34 s of reading was sent to four engines, and
-/// each was taken for 8.5 s.
+/// Guards against splitting a long prompt among the few engines that short prompts left: one with
+/// 34 s of prefill was sent to four engines and occupied each for 8.5 s.
 #[test]
-fn a_prompt_waits_while_short_ones_leave_it_too_few_engines() {
+fn a_prompt_waits_while_short_prompts_leave_it_too_few_engines() {
     let turn = |taken| beside_short_prompts(taken).turn_of_tokens(600_000);
     assert_eq!([13, 12, 10].map(turn), [Turn::TooFewEngines; 3]);
     assert_eq!(turn(2), Turn::Now);
 }
 
-/// Seventeen engines read a million tokens for 3 s each, and one is all that some fleets have.
+/// Seventeen engines read a million tokens for 3 s each, and some fleets have only one engine.
 #[test]
 fn no_prompt_is_too_long_for_idle_engines() {
     for engines in [1, 3, 8, 18, 60] {
@@ -196,14 +203,14 @@
 }
 
 #[test]
-fn a_prompt_that_few_engines_read_soon_does_not_wait_for_more() {
+fn a_prompt_that_few_engines_read_quickly_does_not_wait_for_more() {
     assert_eq!(beside_short_prompts(13).turn_of_tokens(200_000), Turn::Now);
 }
 
-/// Nine instances that start together would send nine prompts to the same engines.
+/// Guards against nine instances that start together and send nine prompts to the same engines.
 #[test]
 fn a_long_prompt_waits_for_other_instances_to_be_heard() {
-    let mut queue = Queue::new(6).waits(100, 2_000, 0, 3_000);
+    let mut queue = Queue::new(6).with_waiting(100, 2_000, 0, 3_000);
     queue.0.starting = true;
     assert!(matches!(queue.turn(100), Turn::After(_)), "{:?}", queue.turn(100));
     queue.0.starting = false;
@@ -212,20 +219,20 @@
 
 #[test]
 fn a_single_engine_serves_long_prompts_too() {
-    let mut queue = Queue::new(1).waits(100, 2_000, 0, 3_000);
+    let mut queue = Queue::new(1).with_waiting(100, 2_000, 0, 3_000);
     queue.0.load.place(at(0), work_id(1), work(1, ms(0)));
     assert_eq!(queue.turn(100), Turn::Now);
     assert_eq!(queue.lead(200_000), "e-01");
 }
 
 #[test]
-fn long_prompts_keep_off_the_engines_that_short_ones_need() {
+fn long_prompts_avoid_the_engines_that_short_prompts_need() {
     let mut queue = Queue::new(3);
     for n in 0..10 {
         queue.0.load.place(at(0), work_id(200 + n), work(2, ms(0)));
     }
     assert_ne!(queue.lead(400_000), "e-02");
-    // All engines but one would be needed for the short ones: one is left for long prompts.
+    // The short prompts would need all engines but one, which is left for long prompts.
     for n in 0..80 {
         queue.0.load.place(at(0), work_id(300 + n), work(1 + n as usize % 2, ms(0)));
     }
