--- a/crates/ringbend-gateway/src/engine.rs
+++ b/crates/ringbend-gateway/src/engine.rs
@@ -1,4 +1,6 @@
 //! The performance profile of a model engine, as configured for its service.
+//!
+//! An engine first reads the prompt of a request (prefill) and then decodes its response.
 
 use std::time::Duration;
 
--- a/crates/ringbend-gateway/tests/limits.rs
+++ b/crates/ringbend-gateway/tests/limits.rs
@@ -124,9 +124,9 @@
 }
 
 fn tell(all: &mut [Limits], now: u64, from: usize, to: usize) {
-    let told: Option<KnownLimit> = all[from].known(&endpoint(1).id).cloned();
-    if let Some(told) = told {
-        all[to].merge(at(now), &told);
+    let known: Option<KnownLimit> = all[from].known(&endpoint(1).id).cloned();
+    if let Some(known) = known {
+        all[to].merge(at(now), &known);
     }
 }
 
--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -196,12 +196,12 @@
 }
 
 fn tell(instances: &mut [Quarantine; 3], now: Timestamp, from: usize, to: usize) {
-    let told: Vec<Suspicion> = [request(0), request(1)]
+    let records: Vec<Suspicion> = [request(0), request(1)]
         .iter()
         .filter_map(|of| instances[from].get(*of).cloned())
         .collect();
-    for told in &told {
-        instances[to].merge(now, told);
+    for record in &records {
+        instances[to].merge(now, record);
     }
 }
 
@@ -226,7 +226,7 @@
         }
         let own: Vec<Suspicion> =
             [request(0), request(1)].iter().filter_map(|of| instances[0].get(*of).cloned()).collect();
-        own.iter().all(|told| !instances[0].merge(at(9_999), told))
+        own.iter().all(|record| !instances[0].merge(at(9_999), record))
     }
 }
 
@@ -258,9 +258,9 @@
     assert!(scene.load.last_placed(request(1)).is_none());
     scene.load.mark_suspect(work_id(1), request(1));
     assert!(scene.load.last_placed(request(1)).is_some());
-    let told = ringbend_gateway::Work { suspect: Some(request(2)), ..work(1, ms(1)) };
+    let suspect_work = ringbend_gateway::Work { suspect: Some(request(2)), ..work(1, ms(1)) };
     scene.load.merge_placed(at(1), work_id(2), work(1, ms(1)), true);
-    scene.load.merge_placed(at(2), work_id(2), told, true);
+    scene.load.merge_placed(at(2), work_id(2), suspect_work, true);
     assert!(scene.load.last_placed(request(2)).is_some());
     scene.load.end(at(3), work_id(2));
     assert!(scene.load.last_placed(request(2)).is_none());
