--- a/crates/ringbend-gateway/src/admission.rs
+++ b/crates/ringbend-gateway/src/admission.rs
@@ -65,21 +65,21 @@
     replica: &Replica,
     now: Timestamp,
     bounds: &AdmissionBounds,
-    arrival: AdmissionRequest<'_>,
+    request: AdmissionRequest<'_>,
 ) -> Result<Admitted, Denied> {
     let snapshot = replica.snapshot().ok_or(Denied::NoConfig)?;
     let age = replica.age(now).unwrap_or(Duration::MAX);
     let unknown = |denied| if age > bounds.denial_age { Denied::StaleConfig } else { denied };
     let route =
-        snapshot.route(arrival.host, arrival.path).ok_or_else(|| unknown(Denied::NoRoute))?;
+        snapshot.route(request.host, request.path).ok_or_else(|| unknown(Denied::NoRoute))?;
     let admitted = |account| Admitted { route: route.clone(), account, snapshot: snapshot.clone() };
     if route.public || !snapshot.needs_keys() {
         return Ok(admitted(None));
     }
-    if bounds.key_age.is_some_and(|most| age >= most) {
+    if bounds.key_age.is_some_and(|max_age| age >= max_age) {
         return Err(Denied::StaleConfig);
     }
-    let account = arrival.key.and_then(|key| snapshot.account(key));
+    let account = request.key.and_then(|key| snapshot.account(key));
     match account {
         Some(account) => Ok(admitted(Some(account.clone()))),
         None => Err(unknown(Denied::BadKey)),
--- a/crates/ringbend-gateway/src/attempts.rs
+++ b/crates/ringbend-gateway/src/attempts.rs
@@ -86,19 +86,19 @@
     pub fn record_outcome(
         &mut self,
         now: Timestamp,
-        end: SendOutcome,
+        outcome: SendOutcome,
         service: &ServiceName,
         budget: &mut RetryBudget,
     ) -> NextStep {
-        match end {
+        match outcome {
             SendOutcome::NotSent | SendOutcome::NotRun => self.unrun_sends += 1,
             SendOutcome::Unknown | SendOutcome::FailedAnswer => self.runs += 1,
         }
         let may_send = self.may_send_again() && now < self.deadline;
-        if may_send && (end == SendOutcome::NotSent || budget.take(now, service)) {
+        if may_send && (outcome == SendOutcome::NotSent || budget.take(now, service)) {
             return NextStep::Retry;
         }
-        match end {
+        match outcome {
             SendOutcome::FailedAnswer => NextStep::ForwardFailure,
             _ => NextStep::GiveUp(self.run_state()),
         }
@@ -134,8 +134,8 @@
     /// Whether another run may start before the outcome of the first one is known. Records the run
     /// if `take` obtains a retry.
     fn begin_another_run(&mut self, now: Timestamp, take: impl FnOnce() -> bool) -> bool {
-        let may = self.repeat.may_repeat() && self.may_run_again() && now < self.deadline;
-        let runs = may && take();
+        let may_run = self.repeat.may_repeat() && self.may_run_again() && now < self.deadline;
+        let runs = may_run && take();
         self.runs += u8::from(runs);
         runs
     }
--- a/crates/ringbend-gateway/src/load.rs
+++ b/crates/ringbend-gateway/src/load.rs
@@ -451,10 +451,10 @@
     }
 
     /// Ends all work that matches. Returns whether there was any.
-    fn end_where(&mut self, now: Timestamp, is_meant: impl Fn(WorkId) -> bool) -> bool {
+    fn end_where(&mut self, now: Timestamp, matches: impl Fn(WorkId) -> bool) -> bool {
         let waiting = self.waiting.len();
-        self.waiting.retain(|id, _| !is_meant(*id));
-        let ids: Vec<WorkId> = self.open.keys().copied().filter(|id| is_meant(*id)).collect();
+        self.waiting.retain(|id, _| !matches(*id));
+        let ids: Vec<WorkId> = self.open.keys().copied().filter(|id| matches(*id)).collect();
         ids.iter().for_each(|id| self.end(now, *id));
         !ids.is_empty() || self.waiting.len() < waiting
     }
--- a/crates/ringbend-gateway/src/peers/roles.rs
+++ b/crates/ringbend-gateway/src/peers/roles.rs
@@ -57,7 +57,7 @@
 
     /// Whether so few of these instances rank before this one that it has to schedule as well.
     pub fn is_needed_beside(&self, others: impl Iterator<Item = InstanceRank>) -> bool {
-        others.filter(|standing| *standing < self.own).count() < SCHEDULERS_PER_DATA_CENTRE
+        others.filter(|instance| *instance < self.own).count() < SCHEDULERS_PER_DATA_CENTRE
     }
 
     /// Re-evaluates the role of this instance. Returns whether it has changed.
@@ -67,11 +67,11 @@
     /// starting; those do not leave it to this one. A member becomes a scheduler after it has heard
     /// no scheduler for a moment.
     pub fn update_role(&mut self, now: Timestamp) -> bool {
-        if self.standings(now, &self.home, Peer::schedules).next().is_some() {
+        if self.ranks(now, &self.home, Peer::schedules).next().is_some() {
             self.scheduler_seen_at = now;
         }
         let is_needed = |candidate: fn(&Peer) -> bool| {
-            self.is_needed_beside(self.standings(now, &self.home, candidate))
+            self.is_needed_beside(self.ranks(now, &self.home, candidate))
         };
         let role = match self.role {
             Role::Scheduler if is_needed(Peer::schedules) => Role::Scheduler,
@@ -228,10 +228,10 @@
         usable: impl Fn(SocketAddrV4, &Peer) -> bool,
         with_own: bool,
     ) -> Option<Arbiter> {
-        let rank = |standing: &InstanceRank| {
+        let rank = |instance: &InstanceRank| {
             let mut hasher = DefaultHasher::new();
-            (service.as_str(), standing.address()).hash(&mut hasher);
-            (Reverse(standing.capacity()), hasher.finish())
+            (service.as_str(), instance.address()).hash(&mut hasher);
+            (Reverse(instance.capacity()), hasher.finish())
         };
         let others = self.alive(now).filter(|(address, peer)| usable(*address, peer));
         let others = others.map(|(address, peer)| InstanceRank::new(peer.capacity, address));
@@ -242,9 +242,9 @@
     /// The scheduler that queries the pace of an engine; `None` if it is this instance. Engines are
     /// spread over all schedulers, so that each is queried once, whichever instance suspects it.
     pub fn probing_scheduler(&self, now: Timestamp, engine: &EndpointId) -> Option<SocketAddrV4> {
-        let rank = |standing: &InstanceRank| {
+        let rank = |instance: &InstanceRank| {
             let mut hasher = DefaultHasher::new();
-            (engine.as_str(), standing.address()).hash(&mut hasher);
+            (engine.as_str(), instance.address()).hash(&mut hasher);
             hasher.finish()
         };
         let others =
@@ -263,15 +263,15 @@
 
     /// The members of this data centre that should become schedulers, the best-ranked first.
     pub fn promotion_candidates(&self, now: Timestamp) -> Vec<SocketAddrV4> {
-        let scheduling = self.standings(now, &self.home, Peer::schedules).count() + 1;
+        let scheduling = self.ranks(now, &self.home, Peer::schedules).count() + 1;
         let mut members: Vec<InstanceRank> =
-            self.standings(now, &self.home, |peer| peer.status.role == Role::Member).collect();
+            self.ranks(now, &self.home, |peer| peer.status.role == Role::Member).collect();
         members.sort();
         let missing = SCHEDULERS_PER_DATA_CENTRE.saturating_sub(scheduling);
-        members.into_iter().take(missing).map(|standing| standing.address()).collect()
+        members.into_iter().take(missing).map(|instance| instance.address()).collect()
     }
 
-    fn standings<'a>(
+    fn ranks<'a>(
         &'a self,
         now: Timestamp,
         data_centre: &'a DataCentre,
@@ -288,11 +288,11 @@
         data_centre: &DataCentre,
         matches: impl Fn(&Peer) -> bool,
     ) -> SmallVec<[SocketAddrV4; SCHEDULERS_PER_DATA_CENTRE]> {
-        let mut all: Vec<InstanceRank> = self.standings(now, data_centre, matches).collect();
+        let mut all: Vec<InstanceRank> = self.ranks(now, data_centre, matches).collect();
         all.sort();
         all.into_iter()
             .take(SCHEDULERS_PER_DATA_CENTRE)
-            .map(|standing| standing.address())
+            .map(|instance| instance.address())
             .collect()
     }
 }
--- a/crates/ringbend-gateway/src/quiet.rs
+++ b/crates/ringbend-gateway/src/quiet.rs
@@ -18,19 +18,19 @@
         return quiet;
     }
     let w = view.weights;
-    let places = f64::from(profile.slots.max(1)) * w.full_share;
+    let slots = f64::from(profile.slots.max(1)) * w.full_share;
     let counts: Vec<usize> =
         candidates.iter().map(|e| view.load.of(&e.id).short_prompts()).collect();
     // Streams on a slow engine take long, and no others should join them.
     let is_slow = |at: &usize| view.load.of(&candidates[*at].id).pace().is_slow();
-    let fit: Vec<usize> = (0..candidates.len()).filter(|at| !is_slow(at)).collect();
-    let count: usize = fit.iter().map(|at| counts[*at]).sum();
-    let needed = (count as f64 * w.quiet_growth + w.quiet_spare) / places;
+    let usable: Vec<usize> = (0..candidates.len()).filter(|at| !is_slow(at)).collect();
+    let count: usize = usable.iter().map(|at| counts[*at]).sum();
+    let needed = (count as f64 * w.quiet_growth + w.quiet_spare) / slots;
     // At least one engine is left for long prompts.
-    let most = fit.len().saturating_sub(1);
-    let mut order = fit;
+    let max_quiet = usable.len().saturating_sub(1);
+    let mut order = usable;
     order.sort_by_key(|at| std::cmp::Reverse(counts[*at]));
-    for at in order.into_iter().take((needed.ceil() as usize).min(most)) {
+    for at in order.into_iter().take((needed.ceil() as usize).min(max_quiet)) {
         quiet[at] = true;
     }
     quiet
--- a/crates/ringbend-gateway/src/store_readers.rs
+++ b/crates/ringbend-gateway/src/store_readers.rs
@@ -24,13 +24,13 @@
 #[derive(Debug, Clone, Copy)]
 struct ClockPairing {
     own: Timestamp,
-    peers: Timestamp,
+    peer: Timestamp,
 }
 
 /// Whether this instance reads, and the clocks of its peers.
 #[derive(Debug, Clone)]
 pub struct StoreReaders {
-    own_start: u64,
+    own_incarnation: u64,
     reads: bool,
     clocks: BTreeMap<u64, ClockPairing>,
     /// When this instance's copy was last proved, and by the read of which incarnation.
@@ -40,8 +40,8 @@
 impl StoreReaders {
     /// Creates an instance that does not read until its copy has not been proved current for a
     /// while.
-    pub fn new(own_start: u64) -> Self {
-        Self { own_start, reads: false, clocks: BTreeMap::new(), proved: None }
+    pub fn new(own_incarnation: u64) -> Self {
+        Self { own_incarnation, reads: false, clocks: BTreeMap::new(), proved: None }
     }
 
     /// Whether this instance reads the tables.
@@ -69,35 +69,35 @@
         stops
     }
 
-    /// Pairs the clocks: incarnation `start` answered, at `peers` on its clock, a greeting that was
+    /// Pairs the clocks: `incarnation` answered, at `peer` on its clock, a greeting that was
     /// sent at `own` on ours.
-    pub fn pair_clocks(&mut self, start: u64, own: Timestamp, peers: Timestamp) {
-        self.clocks.insert(start, ClockPairing { own, peers });
+    pub fn pair_clocks(&mut self, incarnation: u64, own: Timestamp, peer: Timestamp) {
+        self.clocks.insert(incarnation, ClockPairing { own, peer });
     }
 
     /// Drops the clock of an incarnation that has ended.
-    pub fn forget(&mut self, start: u64) {
-        self.clocks.remove(&start);
+    pub fn forget(&mut self, incarnation: u64) {
+        self.clocks.remove(&incarnation);
     }
 
     /// Converts `at` on a peer's clock to a moment on our clock that is no later. Returns `None`
     /// for an unknown clock and for a moment before the zero of our clock: clamped to zero it would
     /// be later than it was.
-    pub fn to_own_clock(&self, start: u64, at: Timestamp) -> Option<Timestamp> {
-        let pairing = self.clocks.get(&start)?;
-        if at >= pairing.peers {
-            return Some(pairing.own + at.since(pairing.peers));
+    pub fn to_own_clock(&self, incarnation: u64, at: Timestamp) -> Option<Timestamp> {
+        let pairing = self.clocks.get(&incarnation)?;
+        if at >= pairing.peer {
+            return Some(pairing.own + at.since(pairing.peer));
         }
-        let before = pairing.peers.since(at);
+        let before = pairing.peer.since(at);
         let is_representable = before <= pairing.own.since(Timestamp::default());
         is_representable.then(|| pairing.own - before)
     }
 
-    /// Records that a read by incarnation `start`, this one or another, proved this instance's copy
+    /// Records that a read by `incarnation`, this one or another, proved this instance's copy
     /// at `at`.
-    pub fn proved_by(&mut self, start: u64, at: Timestamp) {
+    pub fn proved_by(&mut self, incarnation: u64, at: Timestamp) {
         if self.proved.is_none_or(|(before, _)| at > before) {
-            self.proved = Some((at, start));
+            self.proved = Some((at, incarnation));
         }
     }
 
@@ -105,14 +105,16 @@
     /// earlier reader must not be named beside a later proof: it may have ended, and the current
     /// reader would stop because of it.
     pub fn reader(&self) -> Option<u64> {
-        self.proved.map(|(_, start)| start).filter(|start| *start != self.own_start)
+        self.proved
+            .map(|(_, incarnation)| incarnation)
+            .filter(|incarnation| *incarnation != self.own_incarnation)
     }
 
     /// Records that another instance reads and proved this one's copy `age` ago. Returns whether
     /// this one stops reading.
-    pub fn yield_to_reader(&mut self, start: u64, age: Duration) -> bool {
+    pub fn yield_to_reader(&mut self, incarnation: u64, age: Duration) -> bool {
         let fresh = age < Duration::from_millis(READ_AGE_MS.start);
-        let stops = self.reads && start < self.own_start && fresh;
+        let stops = self.reads && incarnation < self.own_incarnation && fresh;
         if stops {
             self.reads = false;
         }
