--- a/crates/ringbend-gateway/tests/backoffs.rs
+++ b/crates/ringbend-gateway/tests/backoffs.rs
@@ -31,7 +31,7 @@
     backoffs.sending(at(1_500), &endpoint(1));
     assert_eq!(backoffs.state(at(1_600), &endpoint(1)), BackoffState::Probed);
     let state = backoffs.state(at(2_500), &endpoint(1));
-    assert_eq!(state, BackoffState::Open, "its response does not come");
+    assert_eq!(state, BackoffState::Open, "the probe got no response in time");
     backoffs.sending(at(2_500), &endpoint(1));
     assert!(!backoffs.taken(at(900), &endpoint(1)), "a response to an earlier request");
     assert!(backoffs.taken(at(2_500), &endpoint(1)));
--- a/crates/ringbend-gateway/tests/copy_freshness.rs
+++ b/crates/ringbend-gateway/tests/copy_freshness.rs
@@ -377,5 +377,5 @@
     assert!(readers.reads());
     assert!(readers.yield_to_others(Some(at(1_000)), Some(at(1_200))));
     assert!(!readers.reads());
-    assert!(!readers.yield_to_others(Some(at(1_000)), Some(at(1_300))), "it does so once");
+    assert!(!readers.yield_to_others(Some(at(1_000)), Some(at(1_300))), "it stops only once");
 }
--- a/crates/ringbend-gateway/tests/limit_coordinator.rs
+++ b/crates/ringbend-gateway/tests/limit_coordinator.rs
@@ -87,5 +87,8 @@
     let much_later = now + ms(40_000);
     (1..=2).for_each(|number| hear(&mut peers, number, much_later));
     peers.sweep(much_later);
-    assert!((peers.reachable_share(much_later) - 1.0).abs() < 1e-9, "they are gone by now");
+    assert!(
+        (peers.reachable_share(much_later) - 1.0).abs() < 1e-9,
+        "silent peers have been dropped"
+    );
 }
--- a/crates/ringbend-gateway/tests/limits.rs
+++ b/crates/ringbend-gateway/tests/limits.rs
@@ -27,7 +27,7 @@
     assert_eq!(observe(&mut limits, 20, 0, LimitSignal::Rate(TWO)), LimitUpdate::Changed);
     assert_eq!(limits.rate(&endpoint(1)), Some(TWO));
     assert_eq!(observe(&mut limits, 30, 15, LimitSignal::None), LimitUpdate::Unchanged);
-    assert_eq!(limits.rate(&endpoint(1)), Some(TWO), "that answer may be older");
+    assert_eq!(limits.rate(&endpoint(1)), Some(TWO), "that response may be older than the limit");
     assert_eq!(observe(&mut limits, 40, 25, LimitSignal::None), LimitUpdate::Changed);
     assert_eq!(limits.rate(&endpoint(1)), None);
 }
@@ -77,7 +77,7 @@
     assert_eq!(limits.rate(&started(2)), Some(FIVE));
     let late =
         limits.observe(at(30), &started(1), at(0), LimitSignal::Rate(TWO), LimitSource::Response);
-    assert_eq!(late, LimitUpdate::Unchanged, "signal of its former process");
+    assert_eq!(late, LimitUpdate::Unchanged, "a signal of the earlier process");
 }
 
 #[test]
@@ -87,7 +87,7 @@
     limits.sweep(at(59_000), |_| true);
     assert_eq!(limits.len(), 1);
     limits.sweep(at(61_000), |_| false);
-    assert_eq!(limits.len(), 1, "one that is there keeps its limit");
+    assert_eq!(limits.len(), 1, "a registered endpoint keeps its limit");
     limits.sweep(at(61_000), |_| true);
     assert!(limits.has_no_records());
 }
--- a/crates/ringbend-gateway/tests/pace.rs
+++ b/crates/ringbend-gateway/tests/pace.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_short_prompt_is_placed_on_an_engine_that_is_on_time() {
     let mut scene = Scene::new(12);
-    assert!(is_slow(&place(&scene, 3_000, 300).lead), "the first engine is asked first");
+    assert!(is_slow(&place(&scene, 3_000, 300).lead), "ties go to the first engine");
     slow(&mut scene, 1..=3);
     assert!(!is_slow(&place(&scene, 3_000, 300).lead));
 }
--- a/crates/ringbend-gateway/tests/permits.rs
+++ b/crates/ringbend-gateway/tests/permits.rs
@@ -148,7 +148,7 @@
     assert_eq!(delays[0], ms(500));
     assert_eq!(delays[1], ms(1_000));
     assert_eq!(delays[9], ms(5_000));
-    assert_eq!(delays[11], ms(5_000), "no later than it can be of use");
+    assert_eq!(delays[11], ms(5_000), "capped at the maximum delay");
     let end: Timestamp = at(0) + delays[11];
     assert_eq!(end, at(5_000));
 }
--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -86,7 +86,7 @@
     let may = |of, other| quarantine.may_run_beside(request(of), [request(other)].into_iter());
     assert!(may(1, 2) && may(2, 1));
     assert!(!may(1, 3) && !may(3, 1));
-    assert!(may(3, 3), "another try of the same request tells nobody apart");
+    assert!(may(3, 3), "another try of the same request is no other suspect");
     assert!(quarantine.may_run_beside(request(3), std::iter::empty()));
 }
 
