--- a/crates/ringbend-gateway/src/candidate.rs
+++ b/crates/ringbend-gateway/src/candidate.rs
@@ -42,14 +42,14 @@
     pub(crate) endpoint: &'a Endpoint,
     pub(crate) load: &'a EndpointLoad,
     /// Duration of a pass without prefill.
-    base_ms: f64,
+    decode_pass_ms: f64,
     /// Number of requests the engine processes at once.
     slots: f64,
     backlog_ms: f64,
     /// Multiple of the configured time that the engine's work takes.
     pub(crate) pace: f64,
     /// The longest remaining prefill of a single prompt on the engine.
-    reading_ms: f64,
+    longest_prefill_ms: f64,
     /// Requests with short prompts that decode on the engine.
     short_prompts: usize,
     /// Number of such requests for which the engine is reserved; zero on engines that long prompts
@@ -79,11 +79,11 @@
         Self {
             endpoint,
             load,
-            base_ms: pace * profile.pass_ms(load.decodes().len() as u32),
+            decode_pass_ms: pace * profile.pass_ms(load.decodes().len() as u32),
             slots: f64::from(profile.slots.max(1)),
             backlog_ms: pace * millis(load.backlog()),
             pace,
-            reading_ms: pace
+            longest_prefill_ms: pace
                 * load.prefills().map(|prefill| millis(prefill.left)).fold(0.0, f64::max),
             reserved_for,
             short_prompts: load.short_prompts(),
@@ -95,7 +95,7 @@
 
     /// Duration of a pass that reads `part_ms` in addition to the queued prefill.
     fn pass_ms(&self, part_ms: f64) -> f64 {
-        self.base_ms + self.backlog_ms + part_ms
+        self.decode_pass_ms + self.backlog_ms + part_ms
     }
 
     /// Cost of the prefill to the requests that are on the engine. A part is read before everything
@@ -122,7 +122,7 @@
 
     /// Cost to the queued prompts of a part being read before them.
     fn queue_delays(&self, w: &PlacementWeights, now: Timestamp, part_ms: f64) -> f64 {
-        let mut done = self.base_ms;
+        let mut done = self.decode_pass_ms;
         let mut cost = 0.0;
         for prefill in self.load.prefills() {
             done += self.pace * millis(prefill.left);
@@ -144,10 +144,10 @@
         let slot_wait_ms = if leads { waiting * SLOT_WAIT_MS } else { 0.0 };
         let last_of = parts as f64 / (parts as f64 + 1.0);
         let current_pass_ms =
-            if self.load.decodes().is_empty() { 0.0 } else { self.base_ms * last_of };
+            if self.load.decodes().is_empty() { 0.0 } else { self.decode_pass_ms * last_of };
         // A part is read before everything that is queued, but not before what is being read.
-        let before = if parts > 1 { self.reading_ms } else { self.backlog_ms };
-        current_pass_ms + self.base_ms + before + part_ms + slot_wait_ms
+        let before = if parts > 1 { self.longest_prefill_ms } else { self.backlog_ms };
+        current_pass_ms + self.decode_pass_ms + before + part_ms + slot_wait_ms
     }
 
     /// Cost of decoding the response on this engine.
@@ -168,7 +168,7 @@
             cost += NO_SLOT_COST * (1.0 + taken - slots);
         }
         // Parts like the recent ones are expected to arrive again while the response is decoded.
-        let usual = self.base_ms + self.pace * millis(self.load.usual_part(view.now));
+        let usual = self.decode_pass_ms + self.pace * millis(self.load.usual_part(view.now));
         cost += stake * lateness(w, usual, millis(goal.gap)) * 0.5;
         if !is_long(w, profile, goal.demand) {
             let share = self.short_prompts as f64 / slots;
--- a/crates/ringbend-gateway/src/directory.rs
+++ b/crates/ringbend-gateway/src/directory.rs
@@ -78,7 +78,7 @@
 
 /// An endpoint whose row was removed.
 #[derive(Debug, Clone)]
-struct Former {
+struct FormerEndpoint {
     start: Option<EndpointStart>,
     until: Timestamp,
 }
@@ -90,7 +90,7 @@
     /// The endpoints registered at each address. A starting instance takes in a few thousand
     /// endpoints and compares each with those at its address.
     at_address: HashMap<SocketAddrV4, SmallVec<[EndpointId; 1]>>,
-    former: BTreeMap<EndpointId, Former>,
+    former: BTreeMap<EndpointId, FormerEndpoint>,
     drains: Drains,
     store_recovered_at: Option<Timestamp>,
 }
@@ -144,11 +144,11 @@
         let known = self.entries.get(&drain.endpoint).and_then(|entry| entry.endpoint.start);
         let is_former = known.zip(drain.start).is_some_and(|(known, start)| known > start);
         let id = drain.endpoint.clone();
-        let is_news = !is_former && self.drains.note(now, drain);
-        if let Some(entry) = self.entries.get_mut(&id).filter(|_| is_news) {
+        let is_new_drain = !is_former && self.drains.note(now, drain);
+        if let Some(entry) = self.entries.get_mut(&id).filter(|_| is_new_drain) {
             entry.draining = self.drains.contains(&entry.endpoint);
         }
-        is_news
+        is_new_drain
     }
 
     /// Whether an endpoint is leaving, by its row or by its own announcement.
@@ -265,7 +265,7 @@
         let Some(entry) = self.entries.remove(id) else { return };
         self.remove_from_address(&entry.endpoint);
         self.former.retain(|_, former| now < former.until);
-        let former = Former { start: entry.endpoint.start, until: now + FORMER_RETENTION };
+        let former = FormerEndpoint { start: entry.endpoint.start, until: now + FORMER_RETENTION };
         self.former.insert(id.clone(), former);
         let at_address = self.at_address.get(&entry.endpoint.address).into_iter().flatten();
         for other in at_address {
--- a/crates/ringbend-gateway/src/limits.rs
+++ b/crates/ringbend-gateway/src/limits.rs
@@ -135,7 +135,7 @@
 
 impl Entry {
     /// Whether a response from this source that names no limit ends the limit.
-    fn ends_by(&self, from: LimitSource) -> bool {
+    fn is_ended_by_absence_in(&self, from: LimitSource) -> bool {
         match from {
             LimitSource::Response => true,
             LimitSource::Report => self.in_report,
@@ -186,7 +186,7 @@
         if rate.is_some() {
             entry.named_at = now;
             entry.in_report |= from == LimitSource::Report;
-        } else if asked <= entry.named_at || !entry.ends_by(from) {
+        } else if asked <= entry.named_at || !entry.is_ended_by_absence_in(from) {
             return LimitUpdate::Unchanged;
         }
         if entry.known.rate == rate {
--- a/crates/ringbend-gateway/src/load.rs
+++ b/crates/ringbend-gateway/src/load.rs
@@ -116,9 +116,9 @@
     /// Whole prompts, the oldest first.
     whole_prompts: Vec<PrefillTask>,
     /// The time up to which completed prefill has been subtracted.
-    advanced: Timestamp,
+    advanced_to: Timestamp,
     /// The longest part it was recently given, and when.
-    part: (Duration, Timestamp),
+    longest_part: (Duration, Timestamp),
     decode_tasks: SmallVec<[DecodeTask; 8]>,
     memory_tokens: u64,
     pace: Pace,
@@ -193,7 +193,7 @@
     /// The longest part it was recently given, decaying over time: an estimate of the parts to
     /// come.
     pub fn usual_part(&self, now: Timestamp) -> Duration {
-        let (part, at) = self.part;
+        let (part, at) = self.longest_part;
         let halvings = now.since(at).as_secs_f64() / PART_HALF_LIFE.as_secs_f64();
         part.mul_f64(0.5f64.powf(halvings))
     }
@@ -206,11 +206,11 @@
     /// Subtracts what has been read until `now`.
     fn advance(&mut self, now: Timestamp) {
         let share = if self.decode_tasks.is_empty() { 1.0 } else { PREFILL_SHARE };
-        let mut time = now.since(self.advanced).mul_f64(share / self.pace.factor());
+        let mut time = now.since(self.advanced_to).mul_f64(share / self.pace.factor());
         if self.pace_until <= now {
             self.pace = Pace::USUAL;
         }
-        self.advanced = now;
+        self.advanced_to = now;
         for prefill in self.parts.iter_mut().rev().chain(&mut self.whole_prompts) {
             let read = prefill.left.min(time);
             prefill.left -= read;
@@ -222,7 +222,7 @@
 
     fn add(&mut self, now: Timestamp, prefill: PrefillTask, is_part: bool) {
         if self.usual_part(now) < prefill.left {
-            self.part = (prefill.left, now);
+            self.longest_part = (prefill.left, now);
         }
         let queue = if is_part { &mut self.parts } else { &mut self.whole_prompts };
         queue.push(prefill);
--- a/crates/ringbend-gateway/src/placement.rs
+++ b/crates/ringbend-gateway/src/placement.rs
@@ -130,22 +130,22 @@
     /// Cost to the requests on the engine.
     cost_to_others: f64,
     /// Cost to the request itself, from the time its part takes if the engine is a helper.
-    own: f64,
+    own_if_helper: f64,
     /// Cost to the request itself if the engine is the lead.
     own_if_lead: f64,
     /// Additional cost if the engine decodes the response.
-    lead: f64,
+    lead_extra: f64,
     /// Breaks ties between engines of the same cost; not part of the cost.
     spread_rank: f64,
 }
 
 impl Price {
     fn as_lead(&self) -> f64 {
-        self.cost_to_others + self.own_if_lead + self.lead + self.spread_rank
+        self.cost_to_others + self.own_if_lead + self.lead_extra + self.spread_rank
     }
 
     fn as_helper(&self) -> f64 {
-        self.cost_to_others + self.own + self.spread_rank
+        self.cost_to_others + self.own_if_helper + self.spread_rank
     }
 }
 
@@ -169,9 +169,9 @@
         };
         Price {
             cost_to_others: e.cost_to_others(w, view.now, part_ms, parts > 1) + e.fixed_cost,
-            own: own(false),
+            own_if_helper: own(false),
             own_if_lead: own(true),
-            lead: e.lead_cost(view, profile, goal, stake) + e.limit_cost,
+            lead_extra: e.lead_cost(view, profile, goal, stake) + e.limit_cost,
             spread_rank: SPREAD_COST * stake * e.spread_rank,
         }
     };
@@ -185,7 +185,7 @@
         return None;
     }
     let helping = || helpers.iter().copied();
-    let own = helping().map(|at| prices[at].own).fold(prices[lead].own_if_lead, f64::max);
+    let own = helping().map(|at| prices[at].own_if_helper).fold(prices[lead].own_if_lead, f64::max);
     let cost_to_others =
         prices[lead].cost_to_others + helping().map(|at| prices[at].cost_to_others).sum::<f64>();
     let first_of = |at: usize, leads| {
@@ -209,7 +209,7 @@
         cost_to_others,
         cost: cost_to_others
             + own
-            + prices[lead].lead
+            + prices[lead].lead_extra
             + no_memory
             + w.helper * helpers.len() as f64,
         first_ms: helping().map(|at| first_of(at, false)).fold(first_as_lead, f64::max),
--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -224,8 +224,10 @@
         for (number, event) in events.iter().enumerate() {
             apply_event(&mut instances, at(number as u64), *event);
         }
-        let own: Vec<Suspicion> =
-            [request(0), request(1)].iter().filter_map(|of| instances[0].get(*of).cloned()).collect();
+        let own: Vec<Suspicion> = [request(0), request(1)]
+            .iter()
+            .filter_map(|of| instances[0].get(*of).cloned())
+            .collect();
         own.iter().all(|record| !instances[0].merge(at(9_999), record))
     }
 }
