--- a/crates/ringbend-policy/src/backoff.rs
+++ b/crates/ringbend-policy/src/backoff.rs
@@ -1,8 +1,8 @@
-//! When and whether an attempt follows another.
+//! Retry delays and the retry budget.
 //!
-//! Full jitter, the endpoint's Retry-After as a floor, and a budget of retries for the whole
-//! instance are ideas of "Your Agent Fleet Kept Its Own Quota Pinned for Forty Minutes"; the
-//! measurements that keep each of them are in `docs/design/retries.md`.
+//! Full jitter, the endpoint's Retry-After as a lower bound, and one retry budget for the whole
+//! instance are taken from "Your Agent Fleet Kept Its Own Quota Pinned for Forty Minutes". The
+//! measurements that justify each of them are in `docs/design/retries.md`.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use ringbend_settings::configs::RetriesConfig;
 use ringbend_types::Timestamp;
 
-/// First attempts forgotten by half after this long.
+/// Half-life of the counts of first attempts and of retries.
 const BUDGET_HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Retries always allowed, so that a quiet instance can retry at all.
-const BUDGET_FLOOR: f64 = 10.0;
+/// Retries that are always allowed, so that an instance with little traffic can retry at all.
+const MIN_RETRIES: f64 = 10.0;
 
-/// The delay before an attempt.
+/// Exponential backoff with full jitter.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
     base: Duration,
@@ -24,7 +24,7 @@
 }
 
 impl Backoff {
-    /// A backoff with these settings.
+    /// Creates a backoff from the retry settings.
     pub fn new(cfg: &RetriesConfig) -> Self {
         Self {
             base: Duration::from_millis(cfg.backoff_base_ms),
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Uniform over the whole window, on top of the endpoint's Retry-After.
+    /// Returns the delay before the next attempt after `failed` failed ones: uniform over the
+    /// backoff window, added to `floor`, the endpoint's Retry-After.
     pub fn delay(&self, failed: u32, floor: Option<Duration>, rng: &mut impl Rng) -> Duration {
         let doublings = failed.saturating_sub(1).min(16);
         let window = self.base.saturating_mul(1 << doublings).min(self.cap);
@@ -40,44 +41,45 @@
     }
 }
 
-/// A Retry-After for a caller: the estimate, spread over as much again, so that callers who were
-/// refused together do not return together.
+/// Returns the Retry-After for a caller: between one and two times the estimate, at random, so
+/// that callers rejected at the same time do not all retry at the same time. The estimate counts
+/// as at least 500 ms.
 pub fn jittered_retry_after(estimate: Duration, rng: &mut impl Rng) -> Duration {
     let estimate = estimate.max(Duration::from_millis(500));
     estimate + estimate.mul_f64(rng.random::<f64>())
 }
 
-/// Retries allowed against first attempts, both decaying with time.
+/// Limits retries to a fraction of first attempts. Both counts decay exponentially.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
-    first: f64,
+    first_attempts: f64,
     retries: f64,
-    at: Timestamp,
+    updated_at: Timestamp,
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Records the first attempt of a request.
     pub fn first_attempt(&mut self, now: Timestamp) {
         self.decay(now);
-        self.first += 1.0;
+        self.first_attempts += 1.0;
     }
 
-    /// Takes a retry out of the budget, unless it is used up.
+    /// Uses one retry of the budget; returns false if it is exhausted.
     pub fn try_retry(&mut self, now: Timestamp, ratio_percent: u32) -> bool {
         self.decay(now);
-        let allowed = BUDGET_FLOOR + self.first * f64::from(ratio_percent) / 100.0;
-        let within = self.retries + 1.0 <= allowed;
-        if within {
+        let allowed = MIN_RETRIES + self.first_attempts * f64::from(ratio_percent) / 100.0;
+        let allowed_now = self.retries + 1.0 <= allowed;
+        if allowed_now {
             self.retries += 1.0;
         }
-        within
+        allowed_now
     }
 
     fn decay(&mut self, now: Timestamp) {
-        let halves = now.since(self.at).as_secs_f64() / BUDGET_HALF_LIFE.as_secs_f64();
-        let keep = 0.5_f64.powf(halves);
-        self.first *= keep;
-        self.retries *= keep;
-        self.at = now;
+        let half_lives = now.since(self.updated_at).as_secs_f64() / BUDGET_HALF_LIFE.as_secs_f64();
+        let factor = 0.5_f64.powf(half_lives);
+        self.first_attempts *= factor;
+        self.retries *= factor;
+        self.updated_at = now;
     }
 }
--- a/crates/ringbend-policy/src/choice.rs
+++ b/crates/ringbend-policy/src/choice.rs
@@ -1,4 +1,4 @@
-//! The ways of choosing an endpoint.
+//! Endpoint selection strategies.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use ringbend_types::EndpointId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// An endpoint that has room for the request.
+/// An endpoint with capacity for the request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Which.
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// Predicted time to first token.
     pub predicted_ttft: Duration,
-    /// Requests of this instance that run there, and those that it reported.
+    /// Requests at the endpoint: the reported count or this instance's own, whichever is higher.
     pub outstanding: u32,
 }
 
-/// Chooses among candidates.
+/// A strategy for choosing among candidates.
 pub trait EndpointChoice {
-    /// The place in `candidates` of the one chosen; `None` when there are none.
+    /// Returns the index of the chosen candidate; `None` if there are no candidates.
     fn choose(
         &mut self,
         candidates: &[Candidate],
@@ -30,7 +30,7 @@
     ) -> Option<usize>;
 }
 
-/// The way of choosing that the settings name.
+/// Creates the strategy that the settings select.
 pub fn choice_for(cfg: &RoutingConfig) -> Box<dyn EndpointChoice> {
     match cfg.choice {
         ChoiceKind::RoundRobin => Box::new(RoundRobin::default()),
@@ -43,7 +43,8 @@
     }
 }
 
-/// The weight of `name` for `key`; the name with the highest weight is the key's home.
+/// Returns the rendezvous hash weight of `name` for `key`; the name with the highest weight is the
+/// key's home.
 pub fn rendezvous_weight(name: &str, key: u64) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), key)
 }
@@ -82,16 +83,17 @@
         if candidates.is_empty() {
             return None;
         }
-        let one = rng.random_range(0..candidates.len());
-        let other = rng.random_range(0..candidates.len());
-        let sooner = candidates[one].predicted_ttft <= candidates[other].predicted_ttft;
-        Some(if sooner { one } else { other })
+        let first = rng.random_range(0..candidates.len());
+        let second = rng.random_range(0..candidates.len());
+        let first_is_faster = candidates[first].predicted_ttft <= candidates[second].predicted_ttft;
+        Some(if first_is_faster { first } else { second })
     }
 }
 
-/// Candidates predicted within this of the best count as equal, and one is taken at random: the
-/// prediction is no finer, and instances that see the same report do not all choose alike.
-const PREDICTION_GRAIN: Duration = Duration::from_millis(10);
+/// Candidates within this of the best prediction count as equal, and one of them is picked at
+/// random: the prediction is not more precise, and instances that see the same report must not all
+/// pick the same endpoint.
+const PREDICTION_TOLERANCE: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
 struct PredictedFinish;
@@ -100,7 +102,7 @@
     fn choose(&mut self, candidates: &[Candidate], _: u64, rng: &mut ChaCha8Rng) -> Option<usize> {
         let best = candidates.iter().map(|c| c.predicted_ttft).min()?;
         let near: Vec<usize> = (0..candidates.len())
-            .filter(|i| candidates[*i].predicted_ttft <= best + PREDICTION_GRAIN)
+            .filter(|i| candidates[*i].predicted_ttft <= best + PREDICTION_TOLERANCE)
             .collect();
         Some(near[rng.random_range(0..near.len())])
     }
@@ -120,9 +122,9 @@
     ) -> Option<usize> {
         let total: u32 = candidates.iter().map(|c| c.outstanding).sum();
         let mean = f64::from(total + 1) / candidates.len().max(1) as f64;
-        let most = (mean * self.bound).ceil();
-        let fits = |i: &usize| f64::from(candidates[*i].outstanding) < most;
+        let limit = (mean * self.bound).ceil();
+        let below_limit = |i: &usize| f64::from(candidates[*i].outstanding) < limit;
         let weight = |i: &usize| rendezvous_weight(candidates[*i].endpoint.as_str(), prefix);
-        (0..candidates.len()).filter(fits).max_by_key(weight)
+        (0..candidates.len()).filter(below_limit).max_by_key(weight)
     }
 }
--- a/crates/ringbend-policy/src/dispatcher.rs
+++ b/crates/ringbend-policy/src/dispatcher.rs
@@ -1,8 +1,8 @@
-//! The policy of one instance: admission, waiting, placement, attempts and their ends.
+//! The scheduling policy of one instance: admission, queueing, placement, attempts, outcomes.
 
-mod arrivals;
-mod ends;
-mod placing;
+mod admission;
+mod completion;
+mod dispatching;
 mod timers;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,47 +18,48 @@
 
 use crate::backoff::RetryBudget;
 use crate::choice::EndpointChoice;
-use crate::collect::Collect;
 use crate::endpoint_view::EndpointView;
 use crate::event::{Action, Event, HeldMemory, Policy};
+use crate::group_reservation::GroupReservation;
 use crate::limits::Limits;
-use crate::placement::Endpoints;
+use crate::placement::EndpointSet;
 use crate::profile::RequestProfile;
 use crate::queue::Queue;
 
-/// Random stream of the policy within a process.
+/// Random stream number of the policy within a process.
 const RANDOM_STREAM: u64 = 1;
 
-/// How often a refused reservation is tried again.
-const RESERVE_AGAIN: Duration = Duration::from_millis(100);
+/// Retry interval of a refused reservation, and the delay before a new group is tried after an
+/// engine of the last one has gone.
+const RESERVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often waiting requests are looked at when nothing else happens.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// Interval at which the queue is checked again when no event does it.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often waiting requests age.
-const AGE_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which the priorities of queued requests are raised.
+const AGEING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A tick this late means that this instance itself was paused, or had nothing to do.
-const OWN_PAUSE: Duration = Duration::from_secs(1);
+/// A tick that is late by more than this means that this instance was paused, or idle.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Who this instance is.
+/// Identity and seed of a dispatcher.
 #[derive(Debug, Clone)]
 pub struct DispatcherConfig {
-    /// This instance.
+    /// This instance's id.
     pub instance: InstanceId,
-    /// This start of it.
+    /// This instance's incarnation, unique to each start.
     pub incarnation: Incarnation,
-    /// Of all random decisions.
+    /// Seed of all random decisions.
     pub seed: Seed,
 }
 
 #[derive(Debug, Clone)]
-struct Running {
+struct RunningAttempt {
     attempt: AttemptId,
     endpoint: EndpointId,
     held: Vec<HeldMemory>,
-    started: bool,
-    first_token_by: Timestamp,
+    got_first_token: bool,
+    first_token_deadline: Timestamp,
     last_progress: Timestamp,
 }
 
@@ -67,8 +68,8 @@
     Claiming,
     Queued,
     Waiting { until: Timestamp },
-    Collecting(Collect),
-    Running(Running),
+    Reserving(GroupReservation),
+    Running(RunningAttempt),
 }
 
 #[derive(Debug, Clone)]
@@ -76,80 +77,80 @@
     profile: RequestProfile,
     stage: Stage,
     attempts: u32,
-    delivered: u64,
-    last: Option<EndpointId>,
-    ran: RunState,
-    timer: Timestamp,
+    delivered_tokens: u64,
+    last_endpoint: Option<EndpointId>,
+    run_state: RunState,
+    next_timer: Timestamp,
 }
 
-/// Ringbend's policy.
+/// Ringbend's scheduling policy for one instance.
 pub struct Dispatcher {
     cfg: DispatcherConfig,
-    mint: IdGenerator,
+    ids: IdGenerator,
     rng: ChaCha8Rng,
-    endpoints: Endpoints,
+    endpoints: EndpointSet,
     leaving: BTreeSet<EndpointId>,
     peers: Vec<InstanceId>,
     requests: BTreeMap<RequestId, Request>,
     attempts: BTreeMap<AttemptId, RequestId>,
     queue: Queue,
     limits: Limits,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     timers: BTreeSet<(Timestamp, RequestId)>,
     choices: Vec<(RoutingConfig, Box<dyn EndpointChoice>)>,
-    next_age: Timestamp,
-    look_at: Timestamp,
+    next_ageing: Timestamp,
+    next_queue_poll: Timestamp,
 }
 
 impl Dispatcher {
-    /// A policy that knows no endpoints yet.
+    /// Creates a dispatcher that knows no endpoints yet.
     pub fn new(cfg: DispatcherConfig) -> Self {
         Self {
-            mint: IdGenerator::new(cfg.incarnation),
+            ids: IdGenerator::new(cfg.incarnation),
             rng: cfg.seed.rng(RANDOM_STREAM),
             peers: vec![cfg.instance.clone()],
             cfg,
-            endpoints: Endpoints::default(),
+            endpoints: EndpointSet::default(),
             leaving: BTreeSet::new(),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             queue: Queue::default(),
             limits: Limits::default(),
-            budget: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             timers: BTreeSet::new(),
             choices: Vec::new(),
-            next_age: Timestamp::default(),
-            look_at: Timestamp::NEVER,
+            next_ageing: Timestamp::default(),
+            next_queue_poll: Timestamp::NEVER,
         }
     }
 
-    /// Mints the id of a request that is about to arrive.
+    /// Returns the id for a request that is about to arrive.
     pub fn next_request_id(&mut self) -> RequestId {
-        self.mint.next_request_id()
+        self.ids.next_request_id()
     }
 
-    /// Admitted requests that have not ended.
+    /// Returns the number of admitted requests that have not ended.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests waiting for an endpoint.
+    /// Returns the number of requests waiting for an endpoint.
     pub fn queued_requests(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether the endpoint is known to be leaving.
+    /// Returns whether the endpoint is known to be leaving.
     pub fn is_leaving(&self, endpoint: &EndpointId) -> bool {
         self.leaving.contains(endpoint)
     }
 
-    /// Endpoints known, with whether they take new work now and the requests this instance has
-    /// there.
+    /// Returns the known endpoints, each with whether it accepts new requests and how many requests
+    /// of this instance it has.
     pub fn endpoints(&self, now: Timestamp) -> Vec<(EndpointEntry, bool, usize)> {
-        self.endpoints.iter().map(|v| (v.entry.clone(), v.is_open(now), v.own())).collect()
+        self.endpoints.iter().map(|v| (v.entry.clone(), v.is_open(now), v.own_requests())).collect()
     }
 
-    fn take_list(&mut self, entries: Vec<EndpointEntry>) {
+    fn update_endpoints(&mut self, entries: Vec<EndpointEntry>) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id.clone()).collect();
         for entry in entries {
             let leaving = self.leaving.contains(&entry.id);
@@ -163,11 +164,11 @@
         for view in self.endpoints.iter_mut() {
             view.leaving |= !listed.contains(&view.entry.id);
         }
-        self.endpoints.drop_gone(&listed);
+        self.endpoints.remove_unlisted(&listed);
         self.leaving.retain(|id| listed.contains(id));
     }
 
-    fn endpoint_leaving(&mut self, id: EndpointId) {
+    fn mark_leaving(&mut self, id: EndpointId) {
         if let Some(view) = self.endpoints.get_mut(&id) {
             view.leaving = true;
         }
@@ -178,10 +179,10 @@
 impl Policy for Dispatcher {
     fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        let mut pump = true;
+        let mut dispatch_queue = true;
         match event {
-            Event::Endpoints(entries) => self.take_list(entries),
-            Event::EndpointLeaving(id) => self.endpoint_leaving(id),
+            Event::Endpoints(entries) => self.update_endpoints(entries),
+            Event::EndpointLeaving(id) => self.mark_leaving(id),
             Event::Peers(peers) => self.peers = peers,
             Event::Share { account: Some(account), share } => {
                 self.limits.set_share(account, Some(share));
@@ -189,48 +190,49 @@
             Event::Share { account: None, share } => self.limits.set_default_share(share),
             Event::Load { endpoint, report, at } => {
                 if let Some(view) = self.endpoints.get_mut(&endpoint) {
-                    view.report(now, report, at);
+                    view.record_report(now, report, at);
                 }
             }
-            Event::Arrived(profile) => self.arrived(now, profile, &mut out),
+            Event::Arrived(profile) => self.on_arrival(now, profile, &mut out),
             Event::Claimed(id) => self.enqueue(now, id),
-            Event::Withdrawn(id) => self.withdraw(now, id, &mut out),
+            Event::Withdrawn(id) => self.on_withdrawn(now, id, &mut out),
             Event::Reserved { attempt, endpoint, held } => {
-                self.reserved(now, attempt, endpoint, held, &mut out);
+                self.on_reservation(now, attempt, endpoint, held, &mut out);
             }
             Event::Progress { attempt, tokens } => {
-                self.progress(now, attempt, tokens);
-                pump = false;
+                self.on_progress(now, attempt, tokens);
+                dispatch_queue = false;
             }
-            Event::Ended { attempt, end } => self.ended(now, attempt, end, &mut out),
-            Event::PresenceLapsed => self.end_held_attempts(now, &mut out),
+            Event::Ended { attempt, end } => self.on_attempt_end(now, attempt, end, &mut out),
+            Event::PresenceLapsed => self.end_attempts_with_held_memory(now, &mut out),
             Event::Tick => {
-                self.fire_timers(now, &mut out);
-                if now >= self.next_age {
-                    if now.since(self.next_age) > OWN_PAUSE {
-                        // This instance stood still; nobody's silence says anything.
-                        self.endpoints.iter_mut().for_each(|view| view.forgive(now));
+                self.run_due_timers(now, &mut out);
+                if now >= self.next_ageing {
+                    if now.since(self.next_ageing) > PAUSE_THRESHOLD {
+                        // This instance was paused, so missing reports say nothing about the
+                        // engines.
+                        self.endpoints.iter_mut().for_each(|view| view.restart_silence_timer(now));
                     }
-                    self.next_age = now + AGE_EVERY;
+                    self.next_ageing = now + AGEING_INTERVAL;
                     self.queue.age(now);
-                    self.leave_silent(now, &mut out);
+                    self.leave_silent_engines(now, &mut out);
                 }
             }
         }
-        if pump && self.queue.len() > 0 {
-            self.pump(now, &mut out);
+        if dispatch_queue && self.queue.len() > 0 {
+            self.dispatch_queued(now, &mut out);
         }
         out
     }
 
     fn next_wakeup(&self) -> Timestamp {
         let timer = self.timers.first().map_or(Timestamp::NEVER, |(due, _)| *due);
-        let age = if self.requests.is_empty() { Timestamp::NEVER } else { self.next_age };
-        timer.min(self.look_at).min(age)
+        let age = if self.requests.is_empty() { Timestamp::NEVER } else { self.next_ageing };
+        timer.min(self.next_queue_poll).min(age)
     }
 }
 
-/// Priority at the engine: by class, and within a class the shorter prompt first.
+/// Returns the priority sent to the engine: by class, and within a class shorter prompts first.
 fn engine_priority(profile: &RequestProfile) -> u8 {
     let size = ringbend_types::PromptBucket::of(profile.prompt_tokens) as u8;
     profile.settings.class.priority * 4 + size
--- a/crates/ringbend-policy/src/dispatcher/arrivals.rs
+++ b/crates/ringbend-policy/src/dispatcher/admission.rs
@@ -1,19 +1,19 @@
-//! Admission and waiting.
+//! Admission control and the queue.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use ringbend_types::{RequestId, RunState, Timestamp};
 
-use super::{Dispatcher, LOOK_AGAIN, Request, Stage};
+use super::{Dispatcher, QUEUE_POLL_INTERVAL, Request, Stage};
 use crate::backoff::jittered_retry_after;
 use crate::event::{Action, FailureCode};
 use crate::limits::LimitVerdict;
-use crate::placement::RoomKind;
+use crate::placement::CapacityClass;
 use crate::profile::RequestProfile;
 
 impl Dispatcher {
-    pub(super) fn arrived(
+    pub(super) fn on_arrival(
         &mut self,
         now: Timestamp,
         profile: RequestProfile,
@@ -28,15 +28,15 @@
         out.push(Action::Admitted(id));
         let claim = profile.needs_claim;
         let request = Request {
-            timer: profile.deadline,
+            next_timer: profile.deadline,
             profile,
             stage: Stage::Claiming,
             attempts: 0,
-            delivered: 0,
-            last: None,
-            ran: RunState::NotRun,
+            delivered_tokens: 0,
+            last_endpoint: None,
+            run_state: RunState::NotRun,
         };
-        self.timers.insert((request.timer, id));
+        self.timers.insert((request.next_timer, id));
         self.requests.insert(id, request);
         if !claim {
             self.enqueue(now, id);
@@ -52,17 +52,17 @@
         if profile.prompt_tokens.0 > admission.max_prompt_tokens {
             return Err((FailureCode::TooLarge, None));
         }
-        let Some(soonest) = self.endpoints.soonest(now, profile) else {
+        let Some(best_predicted_ttft) = self.endpoints.best_predicted_ttft(now, profile) else {
             return Err((FailureCode::NoEndpoint, Some(Duration::from_secs(1))));
         };
         if !self.endpoints.can_ever_hold(profile) {
             return Err((FailureCode::TooLarge, None));
         }
-        let wait = self.queue_time(profile);
+        let wait = self.estimated_queue_time(profile);
         if self.queue.len() >= admission.max_queued as usize {
             return Err((FailureCode::QueueFull, Some(wait)));
         }
-        if now + wait + soonest > profile.deadline {
+        if now + wait + best_predicted_ttft > profile.deadline {
             return Err((FailureCode::DeadlineTooNear, Some(wait)));
         }
         let limits = &profile.settings.limits;
@@ -72,10 +72,12 @@
         }
     }
 
-    /// How long the requests that go before this one take, at this instance's part of the rate.
-    pub(super) fn queue_time(&self, profile: &RequestProfile) -> Duration {
-        let before = self.queue.tokens_before(profile.settings.class.priority);
-        let rate = self.endpoints.rate(&profile.service) / self.peers.len().max(1) as f64;
+    /// Estimates how long the requests ahead of this one take, at this instance's share of the
+    /// prefill rate.
+    pub(super) fn estimated_queue_time(&self, profile: &RequestProfile) -> Duration {
+        let before = self.queue.tokens_ahead(profile.settings.class.priority);
+        let rate =
+            self.endpoints.total_prefill_rate(&profile.service) / self.peers.len().max(1) as f64;
         Duration::from_secs_f64((before as f64 / rate.max(1.0)).min(86_400.0))
     }
 
@@ -86,28 +88,28 @@
         self.set_timer(id);
     }
 
-    /// Sends as many waiting requests as find room.
-    pub(super) fn pump(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let mut full: BTreeSet<RoomKind> = BTreeSet::new();
+    /// Dispatches queued requests for which an endpoint has capacity.
+    pub(super) fn dispatch_queued(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        let mut full_classes: BTreeSet<CapacityClass> = BTreeSet::new();
         let waiting: Vec<RequestId> = self.queue.iter().collect();
         for id in waiting {
             let Some(request) = self.requests.get(&id) else { continue };
-            let kind = self.endpoints.room_kind(&request.profile);
-            if full.contains(&kind) {
+            let class = self.endpoints.capacity_class(&request.profile);
+            if full_classes.contains(&class) {
                 continue;
             }
-            let placed = match kind {
-                RoomKind::Several(_) => self.start_collecting(now, id, out),
-                _ => self.place(now, id, out),
+            let placed = match class {
+                CapacityClass::MultiEngine(_) => self.start_group_reservation(now, id, out),
+                _ => self.dispatch_to_one(now, id, out),
             };
             if !placed {
-                full.insert(kind);
-                if full.len() >= 6 {
+                full_classes.insert(class);
+                if full_classes.len() >= 6 {
                     break;
                 }
             }
         }
         let idle = self.queue.len() == 0;
-        self.look_at = if idle { Timestamp::NEVER } else { now + LOOK_AGAIN };
+        self.next_queue_poll = if idle { Timestamp::NEVER } else { now + QUEUE_POLL_INTERVAL };
     }
 }
--- a/crates/ringbend-policy/src/dispatcher/ends.rs
+++ b/crates/ringbend-policy/src/dispatcher/completion.rs
@@ -1,4 +1,4 @@
-//! How attempts and requests end.
+//! How attempts and requests end: progress, failures, retries and release of held memory.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 use crate::outcome::{AfterAttempt, after_attempt, run_state};
 
 impl Dispatcher {
-    pub(super) fn progress(&mut self, now: Timestamp, attempt: AttemptId, tokens: u64) {
+    pub(super) fn on_progress(&mut self, now: Timestamp, attempt: AttemptId, tokens: u64) {
         let Some(id) = self.attempts.get(&attempt) else { return };
         let Some(request) = self.requests.get_mut(id) else { return };
         let Stage::Running(running) = &mut request.stage else { return };
-        request.delivered = request.delivered.max(tokens);
+        request.delivered_tokens = request.delivered_tokens.max(tokens);
         running.last_progress = now;
-        running.started = true;
+        running.got_first_token = true;
         let prefix = request.profile.prefix;
         if let Some(view) = self.endpoints.get_mut(&running.endpoint) {
-            view.progressed(now, attempt, prefix);
+            view.record_progress(now, attempt, prefix);
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_attempt_end(
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
@@ -37,15 +37,15 @@
         }
         self.stop_attempt(now, id, Some(end), false, out);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.ran = request.ran.max(run_state(end).unwrap_or(RunState::NotRun));
+        request.run_state = request.run_state.max(run_state(end).unwrap_or(RunState::NotRun));
         match after_attempt(end, request.profile.repeatable) {
             AfterAttempt::Answered => self.finish(id, RequestEnd::Answered, out),
             AfterAttempt::End => self.fail(id, FailureCode::EndpointFailed, None, out),
-            AfterAttempt::Retry => self.try_again(now, id, end, out),
+            AfterAttempt::Retry => self.schedule_retry(now, id, end, out),
         }
     }
 
-    pub(super) fn try_again(
+    pub(super) fn schedule_retry(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -58,22 +58,24 @@
             AttemptEnd::Refused { retry_after } => retry_after,
             _ => None,
         };
-        // A long prompt that was not run waits for as long as its deadline lets it.
+        // A long prompt that was not run may be retried until its deadline, outside the retry
+        // budget.
         let waits = request.profile.is_long() && run_state(end) == Some(RunState::NotRun);
         let allowed = waits
             || request.attempts < retries.attempts
-                && self.budget.try_retry(now, retries.ratio_percent);
+                && self.retry_budget.try_retry(now, retries.ratio_percent);
         if !allowed {
             let wait = floor.unwrap_or(Duration::from_secs(1));
             return self.fail(id, FailureCode::EndpointFailed, Some(wait), out);
         }
-        // The endpoint that named the floor is left alone that long; others may be tried sooner.
+        // Only the endpoint that sent the Retry-After backs off that long; others may be tried
+        // sooner.
         let delay = Backoff::new(retries).delay(request.attempts, None, &mut self.rng);
         request.stage = Stage::Waiting { until: now + delay };
         self.set_timer(id);
     }
 
-    /// Takes a running or collecting request off its endpoints, and gives held memory back.
+    /// Ends the current attempt or reservation of a request, and releases the memory held for it.
     pub(super) fn stop_attempt(
         &mut self,
         now: Timestamp,
@@ -86,10 +88,14 @@
         let (attempt, held) = match std::mem::replace(&mut request.stage, Stage::Claiming) {
             Stage::Running(running) => {
                 if let Some(view) = self.endpoints.get_mut(&running.endpoint) {
-                    view.ended(running.attempt);
+                    view.record_end(running.attempt);
                     match end {
-                        Some(AttemptEnd::Broken | AttemptEnd::NotSent) => view.failed(now, None),
-                        Some(AttemptEnd::Refused { retry_after }) => view.refused(now, retry_after),
+                        Some(AttemptEnd::Broken | AttemptEnd::NotSent) => {
+                            view.record_failure(now, None)
+                        }
+                        Some(AttemptEnd::Refused { retry_after }) => {
+                            view.record_refusal(now, retry_after)
+                        }
                         _ => {}
                     }
                 }
@@ -99,7 +105,7 @@
                 }
                 (running.attempt, running.held)
             }
-            Stage::Collecting(collect) => (collect.attempt, collect.held.to_vec()),
+            Stage::Reserving(group) => (group.attempt, group.held.to_vec()),
             Stage::Queued => {
                 self.queue.remove(id);
                 return;
@@ -119,33 +125,33 @@
         wait: Option<Duration>,
         out: &mut Vec<Action>,
     ) {
-        let run_state = self.requests.get(&id).map_or(RunState::NotRun, |r| r.ran);
+        let run_state = self.requests.get(&id).map_or(RunState::NotRun, |r| r.run_state);
         let retry_after = wait.map(|wait| jittered_retry_after(wait, &mut self.rng));
         self.finish(id, RequestEnd::Failed { code, run_state, retry_after }, out);
     }
 
     pub(super) fn finish(&mut self, id: RequestId, end: RequestEnd, out: &mut Vec<Action>) {
-        if self.forget(id) {
+        if self.remove_request(id) {
             out.push(Action::Finish { request: id, end });
         }
     }
 
-    pub(super) fn forget(&mut self, id: RequestId) -> bool {
+    pub(super) fn remove_request(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.remove(&id) else { return false };
-        self.timers.remove(&(request.timer, id));
+        self.timers.remove(&(request.next_timer, id));
         self.limits.release(&request.profile.account, request.profile.cost());
         true
     }
 
-    pub(super) fn withdraw(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn on_withdrawn(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
         self.stop_attempt(now, id, None, true, out);
-        self.forget(id);
+        self.remove_request(id);
     }
 
-    /// Takes repeatable requests off engines that have fallen silent, rather than wait out their
-    /// time bounds there. Others wait: sending them elsewhere could run them twice.
-    pub(super) fn leave_silent(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        for attempt in self.endpoints.attempts_in_silence(now) {
+    /// Moves repeatable requests away from engines that have fallen silent, instead of waiting for
+    /// their timeouts. Other requests keep waiting, because a retry could run them twice.
+    pub(super) fn leave_silent_engines(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        for attempt in self.endpoints.attempts_on_silent_engines(now) {
             let id = self.attempts.get(&attempt).copied();
             let request = id.and_then(|id| self.requests.get(&id));
             let Some(Request { stage: Stage::Running(running), profile, .. }) = request else {
@@ -154,15 +160,15 @@
             if running.attempt == attempt && profile.repeatable {
                 let endpoint = running.endpoint.clone();
                 out.push(Action::Cancel { attempt, endpoint });
-                self.ended(now, attempt, AttemptEnd::Broken, out);
+                self.on_attempt_end(now, attempt, AttemptEnd::Broken, out);
             }
         }
     }
 
-    pub(super) fn end_held_attempts(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn end_attempts_with_held_memory(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let holds = |request: &Request| match &request.stage {
             Stage::Running(running) => !running.held.is_empty(),
-            Stage::Collecting(collect) => !collect.held.is_empty(),
+            Stage::Reserving(group) => !group.held.is_empty(),
             _ => false,
         };
         let holding = self.requests.iter().filter(|(_, request)| holds(request));
@@ -170,10 +176,10 @@
         for id in holding {
             let Some(request) = self.requests.get_mut(&id) else { continue };
             if matches!(request.stage, Stage::Running(_)) {
-                request.ran = request.ran.max(RunState::MayHaveRun);
+                request.run_state = request.run_state.max(RunState::MayHaveRun);
             }
             self.stop_attempt(now, id, None, true, out);
-            self.try_again(now, id, AttemptEnd::Broken, out);
+            self.schedule_retry(now, id, AttemptEnd::Broken, out);
         }
     }
 }
--- a/crates/ringbend-policy/src/dispatcher/timers.rs
+++ b/crates/ringbend-policy/src/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! The one timer of each request.
+//! The timer of each request: deadline, retry delay, first token and idle timeouts.
 
 use std::time::Duration;
 
@@ -14,26 +14,26 @@
         let due = match &request.stage {
             Stage::Claiming | Stage::Queued => Timestamp::NEVER,
             Stage::Waiting { until } => *until,
-            Stage::Collecting(c) if c.asking => Timestamp::NEVER,
-            Stage::Collecting(c) => c.retry_at,
-            Stage::Running(r) if r.started => r.last_progress + idle,
-            Stage::Running(r) => r.first_token_by,
+            Stage::Reserving(g) if g.pending => Timestamp::NEVER,
+            Stage::Reserving(g) => g.retry_at,
+            Stage::Running(r) if r.got_first_token => r.last_progress + idle,
+            Stage::Running(r) => r.first_token_deadline,
         };
         let due = due.min(request.profile.deadline);
-        if due != request.timer {
-            self.timers.remove(&(request.timer, id));
-            request.timer = due;
+        if due != request.next_timer {
+            self.timers.remove(&(request.next_timer, id));
+            request.next_timer = due;
             self.timers.insert((due, id));
         }
     }
 
-    pub(super) fn fire_timers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn run_due_timers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         while let Some((due, id)) = self.timers.first().copied() {
             if due > now {
                 return;
             }
             self.set_timer(id);
-            let moved = self.requests.get(&id).is_none_or(|r| r.timer > now);
+            let moved = self.requests.get(&id).is_none_or(|r| r.next_timer > now);
             if !moved {
                 self.on_timer(now, id, out);
             }
@@ -47,34 +47,34 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         if now >= request.profile.deadline {
             if matches!(request.stage, Stage::Running(_)) {
-                request.ran = request.ran.max(RunState::MayHaveRun);
+                request.run_state = request.run_state.max(RunState::MayHaveRun);
             }
-            let wait = self.requests.get(&id).map(|r| self.queue_time(&r.profile));
+            let wait = self.requests.get(&id).map(|r| self.estimated_queue_time(&r.profile));
             self.stop_attempt(now, id, None, true, out);
             return self.fail(id, FailureCode::DeadlineExceeded, wait, out);
         }
         match &request.stage {
             Stage::Waiting { .. } => self.enqueue(now, id),
-            Stage::Collecting(_) => self.collect(now, id, out),
+            Stage::Reserving(_) => self.continue_reservation(now, id, out),
             Stage::Running(running) => {
                 let (attempt, endpoint) = (running.attempt, running.endpoint.clone());
-                if !running.started && self.endpoints.is_busy(now, &endpoint) {
-                    return self.wait_longer(now, id);
+                if !running.got_first_token && self.endpoints.is_busy(now, &endpoint) {
+                    return self.extend_first_token_deadline(now, id);
                 }
                 out.push(Action::Cancel { attempt, endpoint });
-                self.ended(now, attempt, AttemptEnd::Broken, out);
+                self.on_attempt_end(now, attempt, AttemptEnd::Broken, out);
             }
             Stage::Claiming | Stage::Queued => {}
         }
     }
 
-    /// The engine lives and has others to serve first: what it has done for this request would be
-    /// lost by going elsewhere.
-    pub(super) fn wait_longer(&mut self, now: Timestamp, id: RequestId) {
+    /// Extends the wait for the first token: the engine is alive and busy with other requests, and
+    /// moving this one elsewhere would lose the work already done for it.
+    pub(super) fn extend_first_token_deadline(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let patience = Duration::from_millis(request.profile.settings.timeouts.first_token_ms);
         if let Stage::Running(running) = &mut request.stage {
-            running.first_token_by = now + patience;
+            running.first_token_deadline = now + patience;
         }
         self.set_timer(id);
     }
--- a/crates/ringbend-policy/src/endpoint_view.rs
+++ b/crates/ringbend-policy/src/endpoint_view.rs
@@ -1,4 +1,4 @@
-//! One endpoint as this instance sees it: its late report, corrected by what was sent since.
+//! One endpoint as this instance sees it: late load reports, corrected by what was sent since.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,62 +6,62 @@
 use ringbend_platform::{EndpointEntry, EndpointKind, EndpointState, LoadReport};
 use ringbend_types::{AttemptId, Timestamp, TokenCount};
 
-/// Prefill rate assumed of an engine before any was measured, in tokens a second.
-const FIRST_RATE: f64 = 10_000.0;
+/// Prefill rate assumed for an engine until one has been measured, in tokens per second.
+const INITIAL_PREFILL_RATE: f64 = 10_000.0;
 
-/// Weight of a new sample of the prefill rate.
-const RATE_GAIN: f64 = 0.2;
+/// Weight of a new sample in the moving average of the prefill rate.
+const PREFILL_RATE_GAIN: f64 = 0.2;
 
-/// Prompts shorter than this say too little of the prefill rate, in tokens.
-const RATE_SAMPLE_FROM: u64 = 1_000;
+/// Shorter prompts are not used as samples because they say too little about the prefill rate.
+const MIN_RATE_SAMPLE_TOKENS: u64 = 1_000;
 
-/// Prompt tokens that an engine is taken to prefill in one step.
+/// Prompt tokens that an engine is assumed to prefill in one step.
 pub(crate) const STEP_TOKENS: f64 = 4_096.0;
 
-/// Time of a step beyond its prefill, in seconds.
+/// Fixed overhead of a step beyond its prefill, in seconds.
 const STEP_BASE_S: f64 = 0.02;
 
-/// Tokens that two prompts with one prefix hash share.
+/// Tokens assumed to be shared by two prompts with the same prefix hash.
 pub(crate) const PREFIX_TOKENS: u64 = 2_048;
 
-/// Prefixes remembered per endpoint.
+/// Maximum number of prefix hashes remembered per endpoint.
 const PREFIXES_KEPT: usize = 512;
 
-/// An endpoint that failed is left alone this long, doubling with each failure in a row.
-const SHUN_BASE: Duration = Duration::from_millis(250);
+/// Backoff after an endpoint's first failure; doubles with each consecutive failure.
+const BACKOFF_BASE: Duration = Duration::from_millis(250);
 
-/// The longest an endpoint is left alone.
-const SHUN_CAP: Duration = Duration::from_secs(8);
+/// Maximum backoff.
+const BACKOFF_CAP: Duration = Duration::from_secs(8);
 
-/// An engine that is not heard of for this long is silent, or for three times as long as it lets
-/// pass between reports.
-const SILENT_AFTER: Duration = Duration::from_millis(2_500);
+/// An engine counts as silent after this long without a report or token, or after three times its
+/// average interval between reports, whichever is longer.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Weight of a new sample of the time between reports.
-const GAP_GAIN: f64 = 0.2;
+/// Weight of a new sample in the moving average of the interval between reports.
+const REPORT_GAP_GAIN: f64 = 0.2;
 
 #[derive(Debug, Clone)]
-struct Sent {
-    at: Timestamp,
+struct InFlight {
+    sent_at: Timestamp,
     prefill: u64,
-    ahead: f64,
-    kv: u64,
+    tokens_ahead: f64,
+    kv_tokens: u64,
     long: bool,
-    started: bool,
+    prefilled: bool,
 }
 
-/// What is known of one endpoint.
+/// This instance's knowledge of one endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct EndpointView {
     pub(crate) entry: EndpointEntry,
     pub(crate) leaving: bool,
     report: Option<(LoadReport, Timestamp)>,
-    sent: BTreeMap<AttemptId, Sent>,
-    rate: f64,
+    in_flight: BTreeMap<AttemptId, InFlight>,
+    prefill_rate: f64,
     failures: u32,
-    shunned_until: Timestamp,
+    backoff_until: Timestamp,
     prefixes: BTreeMap<u64, Timestamp>,
-    heard_at: Option<Timestamp>,
+    last_activity: Option<Timestamp>,
     report_gap_s: f64,
 }
 
@@ -72,39 +72,39 @@
             entry,
             leaving,
             report: None,
-            sent: BTreeMap::new(),
-            rate: FIRST_RATE,
+            in_flight: BTreeMap::new(),
+            prefill_rate: INITIAL_PREFILL_RATE,
             failures: 0,
-            shunned_until: Timestamp::default(),
+            backoff_until: Timestamp::default(),
             prefixes: BTreeMap::new(),
-            heard_at: None,
+            last_activity: None,
             report_gap_s: 0.0,
         }
     }
 
-    /// A report or a token arrived.
-    fn heard(&mut self, now: Timestamp) {
-        self.heard_at = Some(now);
+    /// Records that a report or a token arrived.
+    fn record_activity(&mut self, now: Timestamp) {
+        self.last_activity = Some(now);
     }
 
-    /// Starts the wait for a sign anew.
-    pub(crate) fn forgive(&mut self, now: Timestamp) {
-        self.heard_at = self.heard_at.map(|_| now);
+    /// Restarts the silence timeout, after a pause of this instance.
+    pub(crate) fn restart_silence_timer(&mut self, now: Timestamp) {
+        self.last_activity = self.last_activity.map(|_| now);
     }
 
-    /// Whether an engine that used to report has not been heard of for too long.
+    /// Returns whether an engine that has reported before has been inactive for too long.
     pub(crate) fn is_silent(&self, now: Timestamp) -> bool {
-        let Some(heard_at) = self.heard_at else { return false };
-        let patience = SILENT_AFTER.max(Duration::from_secs_f64(3.0 * self.report_gap_s));
-        now.since(heard_at) > patience
+        let Some(last_activity) = self.last_activity else { return false };
+        let timeout = SILENCE_TIMEOUT.max(Duration::from_secs_f64(3.0 * self.report_gap_s));
+        now.since(last_activity) > timeout
     }
 
-    pub(crate) fn report(&mut self, now: Timestamp, report: LoadReport, at: Timestamp) {
+    pub(crate) fn record_report(&mut self, now: Timestamp, report: LoadReport, at: Timestamp) {
         if let Some((_, before)) = &self.report {
             let gap = at.since(*before).as_secs_f64();
-            self.report_gap_s += GAP_GAIN * (gap - self.report_gap_s);
+            self.report_gap_s += REPORT_GAP_GAIN * (gap - self.report_gap_s);
         }
-        self.heard(now);
+        self.record_activity(now);
         let newer = self.report.as_ref().is_none_or(|(_, before)| at >= *before);
         self.leaving |= report.state == EndpointState::Leaving;
         if newer {
@@ -113,57 +113,62 @@
     }
 
     pub(crate) fn is_open(&self, now: Timestamp) -> bool {
-        !self.leaving && now >= self.shunned_until
+        !self.leaving && now >= self.backoff_until
     }
 
-    /// Requests there: those reported, and this instance's own since.
+    /// Returns the number of requests there: the reported count or this instance's own, whichever
+    /// is higher.
     pub(crate) fn outstanding(&self) -> u32 {
         let reported = self.report.as_ref().map_or(0, |(r, _)| r.running + r.waiting);
-        reported.max(self.sent.len() as u32)
+        reported.max(self.in_flight.len() as u32)
     }
 
-    /// Requests of this instance under way there.
-    pub(crate) fn own(&self) -> usize {
-        self.sent.len()
+    /// Returns the number of this instance's requests in flight there.
+    pub(crate) fn own_requests(&self) -> usize {
+        self.in_flight.len()
     }
 
-    /// Long prompts there that are not yet through prefill, as far as can be told.
+    /// Estimates the number of long prompts there that have not finished prefill.
     pub(crate) fn long_prompts(&self, now: Timestamp, long_tokens: u64) -> u32 {
-        let own = self.sent.values().filter(|s| s.long && !s.started).count() as u32;
-        let seen = self.reported_backlog(now) >= long_tokens as f64 * 0.5;
-        own.max(u32::from(seen))
+        let own = self.in_flight.values().filter(|s| s.long && !s.prefilled).count() as u32;
+        let reported_long = self.reported_backlog(now) >= long_tokens as f64 * 0.5;
+        own.max(u32::from(reported_long))
     }
 
-    /// Free memory, as far as can be told.
+    /// Estimates the free KV cache memory.
     pub(crate) fn kv_free(&self) -> TokenCount {
         let capacity = self.entry.kv_capacity;
         let Some((report, at)) = &self.report else {
-            let own = self.sent.values().map(|s| s.kv).sum();
+            let own = self.in_flight.values().map(|s| s.kv_tokens).sum();
             return capacity.saturating_sub(TokenCount(own));
         };
-        let since: u64 = self.sent.values().filter(|s| s.at > *at).map(|s| s.kv).sum();
+        let since: u64 =
+            self.in_flight.values().filter(|s| s.sent_at > *at).map(|s| s.kv_tokens).sum();
         report.kv_capacity.saturating_sub(report.kv_used).saturating_sub(TokenCount(since))
     }
 
-    /// Prompt tokens sent from here that the report does not count yet.
-    fn own_since_report(&self, now: Timestamp, long: bool) -> f64 {
+    /// Returns the prompt tokens sent from here that the report does not include yet.
+    fn unreported_prefill(&self, now: Timestamp, long: bool) -> f64 {
         let reported_at = self.report.as_ref().map_or(Timestamp::default(), |(_, at)| *at);
-        let unseen = self.sent.values().filter(|s| !s.started && s.at >= reported_at);
-        let left =
-            |s: &Sent| (s.prefill as f64 - self.rate * now.since(s.at).as_secs_f64()).max(0.0);
-        unseen.filter(|s| long || !s.long).map(left).sum()
+        let unreported =
+            self.in_flight.values().filter(|s| !s.prefilled && s.sent_at >= reported_at);
+        let remaining = |s: &InFlight| {
+            (s.prefill as f64 - self.prefill_rate * now.since(s.sent_at).as_secs_f64()).max(0.0)
+        };
+        unreported.filter(|s| long || !s.long).map(remaining).sum()
     }
 
     fn reported_backlog(&self, now: Timestamp) -> f64 {
         let Some((report, at)) = &self.report else { return 0.0 };
-        let done = self.rate * now.since(*at).as_secs_f64();
-        (report.prefill_backlog.0 as f64 - done).max(0.0)
+        let prefilled_since = self.prefill_rate * now.since(*at).as_secs_f64();
+        (report.prefill_backlog.0 as f64 - prefilled_since).max(0.0)
     }
 
-    /// Prompt tokens that go before a request sent now. One that is not long goes before long
-    /// ones at the engine, and waits only for the step under way and for others that are not long.
-    pub(crate) fn ahead(&self, now: Timestamp, long: bool) -> f64 {
-        let own = self.own_since_report(now, long);
+    /// Returns the prompt tokens that are prefilled before a request sent now. At the engine a
+    /// short prompt goes before long ones, so it waits only for the current step and for other
+    /// short prompts.
+    pub(crate) fn tokens_ahead(&self, now: Timestamp, long: bool) -> f64 {
+        let own = self.unreported_prefill(now, long);
         let reported = self.reported_backlog(now);
         if long {
             return reported + own;
@@ -172,59 +177,67 @@
         reported.min(STEP_TOKENS * f64::from(1 + waiting)) + own
     }
 
-    /// Predicted time to first token.
-    pub(crate) fn predict(&self, now: Timestamp, prefill: u64, long: bool) -> Duration {
+    /// Predicts the time to first token.
+    pub(crate) fn predict_ttft(&self, now: Timestamp, prefill: u64, long: bool) -> Duration {
         if self.entry.kind == EndpointKind::Service {
             return Duration::from_millis(u64::from(self.outstanding()));
         }
-        let tokens = self.ahead(now, long) + prefill as f64;
+        let tokens = self.tokens_ahead(now, long) + prefill as f64;
         let steps = (tokens / STEP_TOKENS).ceil().max(1.0);
-        Duration::from_secs_f64(tokens / self.rate + steps * STEP_BASE_S)
+        Duration::from_secs_f64(tokens / self.prefill_rate + steps * STEP_BASE_S)
     }
 
-    /// Prompt tokens that need prefill, the prefix cache counted.
-    pub(crate) fn uncached(&self, prompt: TokenCount, prefix: u64) -> u64 {
+    /// Returns the prompt tokens that need prefill after a prefix cache hit.
+    pub(crate) fn uncached_tokens(&self, prompt: TokenCount, prefix: u64) -> u64 {
         let spared = if self.prefixes.contains_key(&prefix) { PREFIX_TOKENS } else { 0 };
         prompt.0.saturating_sub(spared).max(1)
     }
 
-    /// Prompt tokens prefilled per second.
-    pub(crate) fn rate(&self) -> f64 {
-        self.rate
+    /// Returns the estimated prefill rate in tokens per second.
+    pub(crate) fn prefill_rate(&self) -> f64 {
+        self.prefill_rate
     }
 
-    pub(crate) fn sent(
+    pub(crate) fn record_sent(
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
         prefill: u64,
-        kv: TokenCount,
+        kv_tokens: TokenCount,
         long: bool,
     ) {
-        let ahead = self.ahead(now, long);
-        let sent = Sent { at: now, prefill, ahead, kv: kv.0, long, started: false };
-        self.sent.insert(attempt, sent);
+        let tokens_ahead = self.tokens_ahead(now, long);
+        let sent = InFlight {
+            sent_at: now,
+            prefill,
+            tokens_ahead,
+            kv_tokens: kv_tokens.0,
+            long,
+            prefilled: false,
+        };
+        self.in_flight.insert(attempt, sent);
     }
 
-    /// A token of an attempt. The first one says that its prompt is prefilled, and tells the rate.
-    pub(crate) fn progressed(&mut self, now: Timestamp, attempt: AttemptId, prefix: u64) {
-        let Some(sent) = self.sent.get_mut(&attempt) else { return };
-        if sent.started {
+    /// Records a token of an attempt. The first one means that the prompt has been prefilled, which
+    /// gives a sample of the prefill rate.
+    pub(crate) fn record_progress(&mut self, now: Timestamp, attempt: AttemptId, prefix: u64) {
+        let Some(sent) = self.in_flight.get_mut(&attempt) else { return };
+        if sent.prefilled {
             return;
         }
-        sent.started = true;
-        let tokens = sent.ahead + sent.prefill as f64;
+        sent.prefilled = true;
+        let tokens = sent.tokens_ahead + sent.prefill as f64;
         let steps = (tokens / STEP_TOKENS).ceil();
-        let seconds = now.since(sent.at).as_secs_f64() - steps * STEP_BASE_S;
-        if sent.prefill >= RATE_SAMPLE_FROM && seconds > 0.0 {
-            let sample = (tokens / seconds).clamp(self.rate / 4.0, self.rate * 4.0);
-            self.rate += RATE_GAIN * (sample - self.rate);
+        let seconds = now.since(sent.sent_at).as_secs_f64() - steps * STEP_BASE_S;
+        if sent.prefill >= MIN_RATE_SAMPLE_TOKENS && seconds > 0.0 {
+            let sample = (tokens / seconds).clamp(self.prefill_rate / 4.0, self.prefill_rate * 4.0);
+            self.prefill_rate += PREFILL_RATE_GAIN * (sample - self.prefill_rate);
         }
         self.failures = 0;
-        self.remember(now, prefix);
+        self.remember_prefix(now, prefix);
     }
 
-    fn remember(&mut self, now: Timestamp, prefix: u64) {
+    fn remember_prefix(&mut self, now: Timestamp, prefix: u64) {
         self.prefixes.insert(prefix, now);
         if self.prefixes.len() > PREFIXES_KEPT {
             let oldest = self.prefixes.iter().min_by_key(|(_, at)| **at).map(|(p, _)| *p);
@@ -234,33 +247,33 @@
         }
     }
 
-    pub(crate) fn ended(&mut self, attempt: AttemptId) {
-        self.sent.remove(&attempt);
+    pub(crate) fn record_end(&mut self, attempt: AttemptId) {
+        self.in_flight.remove(&attempt);
     }
 
-    /// Whether the endpoint reports, and has work by its latest report: what was sent there may be
-    /// waiting its turn.
+    /// Returns whether the endpoint still reports and its latest report shows work, in which case
+    /// an attempt without a token may just be queued there.
     pub(crate) fn is_busy(&self, now: Timestamp) -> bool {
-        let works = |r: &LoadReport| r.waiting > 0 || r.prefill_backlog.0 > 0;
-        !self.is_silent(now) && self.report.as_ref().is_some_and(|(r, _)| works(r))
+        let has_work = |r: &LoadReport| r.waiting > 0 || r.prefill_backlog.0 > 0;
+        !self.is_silent(now) && self.report.as_ref().is_some_and(|(r, _)| has_work(r))
     }
 
-    /// Attempts under way there.
+    /// Returns this instance's attempts in flight there.
     pub(crate) fn attempts(&self) -> Vec<AttemptId> {
-        self.sent.keys().copied().collect()
+        self.in_flight.keys().copied().collect()
     }
 
-    /// The endpoint failed an attempt: leave it alone for a while.
-    pub(crate) fn failed(&mut self, now: Timestamp, least: Option<Duration>) {
+    /// Records a failed attempt and backs off from the endpoint.
+    pub(crate) fn record_failure(&mut self, now: Timestamp, least: Option<Duration>) {
         self.failures += 1;
         let doublings = (self.failures - 1).min(8);
-        let shun = SHUN_BASE.saturating_mul(1 << doublings).min(SHUN_CAP);
-        self.shunned_until = now + shun.max(least.unwrap_or_default());
+        let backoff = BACKOFF_BASE.saturating_mul(1 << doublings).min(BACKOFF_CAP);
+        self.backoff_until = now + backoff.max(least.unwrap_or_default());
         self.prefixes.clear();
     }
 
-    /// The endpoint refused an attempt without running it.
-    pub(crate) fn refused(&mut self, now: Timestamp, retry_after: Option<Duration>) {
-        self.shunned_until = self.shunned_until.max(now + retry_after.unwrap_or(SHUN_BASE));
+    /// Records that the endpoint refused an attempt without running it.
+    pub(crate) fn record_refusal(&mut self, now: Timestamp, retry_after: Option<Duration>) {
+        self.backoff_until = self.backoff_until.max(now + retry_after.unwrap_or(BACKOFF_BASE));
     }
 }
--- a/crates/ringbend-policy/src/event.rs
+++ b/crates/ringbend-policy/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a policy, and what it asks of its driver.
+//! The events that a policy handles and the actions it returns to its driver.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,134 +11,136 @@
 
 use crate::profile::RequestProfile;
 
-/// How one attempt at an endpoint ended.
+/// How an attempt at an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Complete,
-    /// No byte of the request left this instance: the connection was refused or never opened.
+    /// No byte of the request was sent: the connection was refused or could not be opened.
     NotSent,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Refused {
-        /// When the endpoint says to come back.
+        /// The Retry-After that the endpoint sent.
         retry_after: Option<Duration>,
     },
-    /// The connection broke, the answer stalled, or it was not the answer to this attempt.
+    /// The connection broke, the response stalled, or it belonged to another attempt.
     Broken,
-    /// The endpoint answered that running the request failed.
+    /// The endpoint reported that running the request failed.
     EndpointError,
 }
 
-/// What happens to a policy.
+/// An input to a policy.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The instance list as last read.
+    /// The current endpoint list.
     Endpoints(Vec<EndpointEntry>),
-    /// An endpoint is leaving, by its own word or a peer's.
+    /// An endpoint is leaving, as reported by itself or by a peer.
     EndpointLeaving(EndpointId),
-    /// The instances that take part, this one included.
+    /// The live instances, this one included.
     Peers(Vec<InstanceId>),
-    /// This instance's share of the limits of an account, or of all accounts without one.
+    /// This instance's share of an account's limits, or of all accounts that have no share of their
+    /// own.
     Share {
-        /// Whose limits; `None` is the default.
+        /// The account; `None` sets the default share.
         account: Option<ClientAccountId>,
-        /// A part of one.
+        /// A fraction between 0 and 1.
         share: f64,
     },
-    /// An endpoint's load as of `at`.
+    /// A load report of an endpoint.
     Load {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// What it said.
+        /// The reported load.
         report: LoadReport,
-        /// When it was so.
+        /// The time at which the load was measured.
         at: Timestamp,
     },
     /// A request arrived.
     Arrived(RequestProfile),
-    /// The request's claim was granted.
+    /// The claim on the request's key was granted.
     Claimed(RequestId),
-    /// The driver ended the request: caller gone, claim held by another, or given up.
+    /// The driver ended the request: the caller disconnected, another request holds the claim, or
+    /// the claim could not be made.
     Withdrawn(RequestId),
-    /// A reservation was made, or refused.
+    /// The result of a reservation.
     Reserved {
-        /// For which attempt.
+        /// The attempt that needs the memory.
         attempt: AttemptId,
-        /// On which engine.
+        /// The engine that was asked.
         endpoint: EndpointId,
-        /// Whether the memory is held now.
+        /// Whether the engine now holds the memory.
         held: bool,
     },
     /// Tokens of an attempt arrived.
     Progress {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// How many in all.
+        /// Tokens delivered so far, including those of earlier attempts.
         tokens: u64,
     },
     /// An attempt ended.
     Ended {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
-    /// This instance could not renew its presence: memory it holds on engines may be swept, so
-    /// attempts that rest on it end.
+    /// This instance failed to renew its presence lease. The memory it holds on engines may be
+    /// freed, so attempts that depend on it end.
     PresenceLapsed,
-    /// Time has passed.
+    /// A wakeup that was requested through [`Policy::next_wakeup`].
     Tick,
 }
 
 /// Memory held on another engine for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldMemory {
-    /// Where.
+    /// The engine.
     pub endpoint: EndpointId,
-    /// How much.
+    /// The amount of KV cache memory.
     pub tokens: TokenCount,
 }
 
-/// One try of a request at an endpoint.
+/// An attempt of a request at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
-    /// Which request.
+    /// The request.
     pub request: RequestId,
     /// The attempt's id.
     pub attempt: AttemptId,
-    /// Where it goes.
+    /// The endpoint it is sent to.
     pub endpoint: EndpointId,
     /// Memory held for it on other engines.
     pub held: SmallVec<[HeldMemory; 4]>,
-    /// Priority at the engine; 0 goes first.
+    /// Priority at the engine; 0 is served first.
     pub priority: u8,
-    /// Tokens that earlier attempts delivered.
+    /// Tokens already delivered by earlier attempts.
     pub resume_from: u64,
-    /// Counts the request's attempts from one.
+    /// The number of the attempt within its request, starting at 1.
     pub number: u32,
 }
 
-/// Why a request was refused or failed.
+/// Why a request was rejected or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureCode {
-    /// The client account's rate or concurrency is used up.
+    /// The client account's rate or concurrency limit is exhausted.
     OverLimit,
-    /// Too many requests of the class wait here.
+    /// The queue of this instance is full.
     QueueFull,
-    /// The answer could not begin before the deadline.
+    /// The response could not start before the deadline.
     DeadlineTooNear,
     /// No endpoint of the service is known and live.
     NoEndpoint,
-    /// The prompt is longer than allowed, or than all engines together can hold.
+    /// The prompt exceeds the configured maximum, or the memory of all engines together.
     TooLarge,
     /// The deadline passed.
     DeadlineExceeded,
-    /// The endpoint failed, and the attempts allowed are used up or must not be repeated.
+    /// The endpoint failed, and the request may not be retried or has no retries left.
     EndpointFailed,
 }
 
 impl FailureCode {
-    /// The code in error bodies and metrics.
+    /// Returns the code used in error bodies and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::OverLimit => "over_limit",
@@ -161,70 +163,70 @@
 /// How an admitted request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Answered,
-    /// It failed.
+    /// The request failed.
     Failed {
-        /// Why.
+        /// The cause.
         code: FailureCode,
-        /// Whether it was run.
+        /// Whether the request was executed.
         run_state: RunState,
-        /// When to come back, where that helps.
+        /// When the caller may retry, if a retry can help.
         retry_after: Option<Duration>,
     },
 }
 
-/// What the driver does.
+/// A command to the driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// The request is taken in: it will end in a [`Action::Finish`], unless withdrawn.
+    /// The request is admitted. It ends with an [`Action::Finish`] unless it is withdrawn.
     Admitted(RequestId),
-    /// The request is not taken in, and was not run.
+    /// The request is rejected without being run.
     Rejected {
-        /// Which.
+        /// The request.
         request: RequestId,
-        /// Why.
+        /// The cause.
         code: FailureCode,
-        /// When to come back.
+        /// When the caller may retry.
         retry_after: Option<Duration>,
     },
-    /// Hold memory on an engine; answer with [`Event::Reserved`].
+    /// Reserve memory on an engine; the driver replies with [`Event::Reserved`].
     Reserve {
-        /// For which attempt.
+        /// The attempt that needs the memory.
         attempt: AttemptId,
-        /// Where, and how much.
+        /// The engine and the amount.
         memory: HeldMemory,
     },
-    /// Give held memory back.
+    /// Release memory held on an engine.
     Release {
-        /// Of which attempt.
+        /// The attempt it was held for.
         attempt: AttemptId,
-        /// Where.
+        /// The engine.
         endpoint: EndpointId,
     },
     /// Send the request to an endpoint.
     Dispatch(Dispatch),
-    /// Stop an attempt at its endpoint and drop its connection.
+    /// Cancel an attempt at its endpoint and close its connection.
     Cancel {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// The request ended; tell the caller at once.
+    /// The request has ended; respond to the caller immediately.
     Finish {
-        /// Which.
+        /// The request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         end: RequestEnd,
     },
 }
 
-/// Decides on requests. One value serves one instance.
+/// A scheduling policy. Each instance has its own.
 pub trait Policy {
-    /// Takes an event and returns what is to be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Action>;
 
-    /// When [`Event::Tick`] is wanted next.
+    /// Returns when the next [`Event::Tick`] is needed.
     fn next_wakeup(&self) -> Timestamp;
 }
--- a/crates/ringbend-policy/src/lib.rs
+++ b/crates/ringbend-policy/src/lib.rs
@@ -1,17 +1,17 @@
-//! The decisions on requests: admission, order of waiting, choice of endpoint, long prompts,
-//! several-engine reservations, limits of client accounts, retries.
+//! Request scheduling: admission control, queueing, endpoint selection, long prompts,
+//! multi-engine memory reservations, client account limits and retries.
 //!
-//! [`Dispatcher`] decides, [`NaivePolicy`] is the plain router it is measured against; both are
-//! driven through [`Policy`]. Nothing here does I/O, reads a clock or keeps a thread: time, seed
-//! and events are passed in, and the same events give the same actions.
+//! [`Dispatcher`] is the production policy and [`NaivePolicy`] the baseline it is measured
+//! against; both implement [`Policy`]. The crate does no I/O, reads no clock and starts no
+//! threads: time, seed and events are passed in, so the same events always give the same actions.
 
 mod backoff;
 mod bucket;
 mod choice;
-mod collect;
 mod dispatcher;
 mod endpoint_view;
 mod event;
+mod group_reservation;
 mod limits;
 mod naive;
 mod outcome;
--- a/crates/ringbend-policy/src/limits.rs
+++ b/crates/ringbend-policy/src/limits.rs
@@ -1,4 +1,4 @@
-//! This instance's part of each client account's limits.
+//! This instance's share of each client account's rate and concurrency limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 use crate::bucket::TokenBucket;
 
-/// Whether a request is within its account's limits here.
+/// Whether a request is within this instance's share of its account's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// It is, and its cost has been taken.
+    /// It is within the limits, and its cost has been taken.
     Within,
-    /// It is not; the bucket here will hold its cost after this time.
+    /// It exceeds them; its cost can be taken after this time.
     Over(Duration),
 }
 
-/// The buckets of one instance: the account's rate times this instance's share of it.
+/// The limits of all accounts on one instance, each scaled by this instance's share of them.
 #[derive(Debug, Clone)]
 pub struct Limits {
     default_share: f64,
@@ -38,12 +38,12 @@
 }
 
 impl Limits {
-    /// The share of accounts that no owner has given one for.
+    /// Sets the share used for accounts that have none of their own.
     pub fn set_default_share(&mut self, share: f64) {
         self.default_share = share;
     }
 
-    /// The share of one account's limits; `None` returns to the default.
+    /// Sets the share of one account's limits; `None` restores the default.
     pub fn set_share(&mut self, account: ClientAccountId, share: Option<f64>) {
         match share {
             Some(share) => self.shares.insert(account, share),
@@ -51,7 +51,7 @@
         };
     }
 
-    /// Takes a request's cost out of its account's limits, when they hold it.
+    /// Takes a request's cost from its account's limits if it is within them.
     pub fn try_take(
         &mut self,
         now: Timestamp,
@@ -61,8 +61,8 @@
     ) -> LimitVerdict {
         let share = self.shares.get(account).copied().unwrap_or(self.default_share);
         let in_use = self.in_use.get(account).copied().unwrap_or(0);
-        let most = (cfg.concurrent_tokens as f64 * share) as u64;
-        if cfg.concurrent_tokens > 0 && in_use > 0 && in_use + cost.0 > most {
+        let max_in_use = (cfg.concurrent_tokens as f64 * share) as u64;
+        if cfg.concurrent_tokens > 0 && in_use > 0 && in_use + cost.0 > max_in_use {
             return LimitVerdict::Over(Duration::from_secs(1));
         }
         if cfg.tokens_per_s > 0 && !self.take_rate(now, account, cost, cfg, share) {
@@ -74,7 +74,7 @@
         LimitVerdict::Within
     }
 
-    /// A request that was within the limits has ended.
+    /// Releases the concurrency used by a request that has ended.
     pub fn release(&mut self, account: &ClientAccountId, cost: TokenCount) {
         let Some(in_use) = self.in_use.get_mut(account) else { return };
         *in_use = in_use.saturating_sub(cost.0);
@@ -93,8 +93,9 @@
     ) -> bool {
         let rate = cfg.tokens_per_s as f64 * share;
         let burst = rate * cfg.burst_s as f64;
-        let new = || TokenBucket::new(now, TokensPerSecond(rate as u64), TokenCount(burst as u64));
-        let bucket = self.buckets.entry(account.clone()).or_insert_with(new);
+        let new_bucket =
+            || TokenBucket::new(now, TokensPerSecond(rate as u64), TokenCount(burst as u64));
+        let bucket = self.buckets.entry(account.clone()).or_insert_with(new_bucket);
         bucket.reconfigure(now, rate, burst);
         bucket.try_take(now, cost)
     }
--- a/crates/ringbend-policy/src/naive.rs
+++ b/crates/ringbend-policy/src/naive.rs
@@ -1,6 +1,6 @@
-//! The plain router that Ringbend is measured against: every request goes at once to an endpoint,
-//! by default the next in turn, and is tried again at once on any failure. It knows no limits, no
-//! claims, no priorities and no memory.
+//! The baseline that Ringbend is measured against: a plain router that sends every request at once
+//! to an endpoint, by default round robin, and retries immediately on any failure. It has no
+//! limits, claims, priorities or memory accounting.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,36 +17,36 @@
 use crate::event::{Action, AttemptEnd, Dispatch, Event, FailureCode, Policy, RequestEnd};
 use crate::profile::RequestProfile;
 
-/// Attempts before the naive router gives up.
+/// Attempts after which the baseline gives up.
 const MAX_ATTEMPTS: u32 = 10;
 
-/// Prefill rate it takes every engine to have, in tokens a second.
+/// Prefill rate assumed for every engine, in tokens per second.
 const ASSUMED_RATE: f64 = 20_000.0;
 
-/// Random stream of the naive router within a process.
+/// Random stream number of the baseline within a process.
 const RANDOM_STREAM: u64 = 3;
 
 #[derive(Debug, Clone)]
-struct Open {
+struct OpenRequest {
     profile: RequestProfile,
     attempt: AttemptId,
     endpoint: EndpointId,
     attempts: u32,
 }
 
-/// A plain router.
+/// The baseline router.
 pub struct NaivePolicy {
     mint: IdGenerator,
     rng: ChaCha8Rng,
     choice: Box<dyn EndpointChoice>,
     endpoints: Vec<EndpointEntry>,
     reports: BTreeMap<EndpointId, LoadReport>,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenRequest>,
     attempts: BTreeMap<AttemptId, RequestId>,
 }
 
 impl NaivePolicy {
-    /// A router that knows no endpoints yet.
+    /// Creates a router that knows no endpoints yet.
     pub fn new(incarnation: Incarnation, choice: ChoiceKind, seed: Seed) -> Self {
         let routing = RoutingConfig { choice, ..RoutingConfig::default() };
         Self {
@@ -61,17 +61,18 @@
     }
 
     fn candidates(&self, profile: &RequestProfile) -> Vec<Candidate> {
-        let fits = self.endpoints.iter().filter(|e| e.service == profile.service);
-        fits.map(|entry| {
-            let own = self.open.values().filter(|o| o.endpoint == entry.id);
-            let backlog = self.reports.get(&entry.id).map_or(0, |r| r.prefill_backlog.0);
-            Candidate {
-                endpoint: entry.id.clone(),
-                predicted_ttft: Duration::from_secs_f64(backlog as f64 / ASSUMED_RATE),
-                outstanding: own.count() as u32,
-            }
-        })
-        .collect()
+        let serving = self.endpoints.iter().filter(|e| e.service == profile.service);
+        serving
+            .map(|entry| {
+                let own = self.open.values().filter(|o| o.endpoint == entry.id);
+                let backlog = self.reports.get(&entry.id).map_or(0, |r| r.prefill_backlog.0);
+                Candidate {
+                    endpoint: entry.id.clone(),
+                    predicted_ttft: Duration::from_secs_f64(backlog as f64 / ASSUMED_RATE),
+                    outstanding: own.count() as u32,
+                }
+            })
+            .collect()
     }
 
     fn send(&mut self, profile: RequestProfile, attempts: u32, out: &mut Vec<Action>) {
@@ -97,7 +98,7 @@
             number: attempts + 1,
         }));
         self.attempts.insert(attempt, id);
-        self.open.insert(id, Open { profile, attempt, endpoint, attempts: attempts + 1 });
+        self.open.insert(id, OpenRequest { profile, attempt, endpoint, attempts: attempts + 1 });
     }
 
     fn ended(&mut self, attempt: AttemptId, end: AttemptEnd, out: &mut Vec<Action>) {
@@ -111,9 +112,9 @@
     }
 
     fn expire(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let late = self.open.iter().filter(|(_, open)| open.profile.deadline <= now);
-        let late: Vec<RequestId> = late.map(|(id, _)| *id).collect();
-        for id in late {
+        let expired = self.open.iter().filter(|(_, open)| open.profile.deadline <= now);
+        let expired: Vec<RequestId> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.withdraw(id, out);
             let code = FailureCode::DeadlineExceeded;
             let run_state = RunState::MayHaveRun;
--- a/crates/ringbend-policy/src/outcome.rs
+++ b/crates/ringbend-policy/src/outcome.rs
@@ -1,29 +1,29 @@
-//! Which word a caller hears after an attempt, and whether another attempt may follow.
+//! What a caller is told after an attempt, and whether the request may be retried.
 //!
-//! | end of the attempt | was it run | repeatable request | request that must not be repeated |
+//! | end of the attempt | executed? | repeatable request | non-repeatable request |
 //! |---|---|---|---|
 //! | complete | yes | answered | answered |
-//! | not sent | not run | again | again |
-//! | refused by the endpoint | not run | again | again |
-//! | broken, stalled, crossed | may have run | again, from the tokens delivered | ends: may have run |
-//! | endpoint error | failed | again | ends: failed |
+//! | not sent | not run | retry | retry |
+//! | refused by the endpoint | not run | retry | retry |
+//! | broken, stalled, mismatched | may have run | resume after delivered tokens | ends: may have run |
+//! | endpoint error | failed | retry | ends: failed |
 
 use ringbend_types::RunState;
 
 use crate::event::AttemptEnd;
 
-/// What may follow an attempt.
+/// What happens to a request after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterAttempt {
-    /// The request is answered.
+    /// The request has been answered.
     Answered,
-    /// Another attempt is allowed.
+    /// The request may be retried.
     Retry,
-    /// The request ends.
+    /// The request has failed.
     End,
 }
 
-/// Whether an attempt that ended this way ran; `None` for a complete one.
+/// Returns whether an attempt with this end was executed; `None` if it completed.
 pub fn run_state(end: AttemptEnd) -> Option<RunState> {
     match end {
         AttemptEnd::Complete => None,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What may follow an attempt that ended this way.
+/// Decides what follows an attempt with this end.
 pub fn after_attempt(end: AttemptEnd, repeatable: bool) -> AfterAttempt {
     match run_state(end) {
         None => AfterAttempt::Answered,
--- a/crates/ringbend-policy/src/shares.rs
+++ b/crates/ringbend-policy/src/shares.rs
@@ -1,10 +1,11 @@
-//! How the limits of a client account are shared out between instances without a counter.
+//! Distribution of client account limits among instances without a shared counter.
 //!
 //! Each account has an owner, the live instance with the highest rendezvous weight. Instances
-//! tell the owner their demand and get a share of the rate for the time of a lease. The shares
-//! that an owner has out never sum to more than one, so moving demand cannot overshoot; an owner
-//! that is new waits out one lease, giving equal shares, before it trusts its books. An instance
-//! that reaches no owner falls back to an equal share.
+//! report their demand to the owner and are granted a share of the rate for the length of a lease.
+//! The shares that an owner has granted never sum to more than one, so a shift in demand cannot
+//! exceed the limit. A new owner grants at most equal shares for one lease, until shares granted by
+//! its predecessor have expired. An instance that cannot reach the owner falls back to an equal
+//! share.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,17 +14,18 @@
 
 use crate::choice::rendezvous_weight;
 
-/// Times and sizes of the sharing.
+/// Intervals and limits of the share protocol.
 #[derive(Debug, Clone)]
 pub struct ShareConfig {
-    /// How often demand is told, among up to [`ShareConfig::base_instances`] instances; among more, less
-    /// often in proportion, so that what an instance sends does not grow with their number.
+    /// How often demand is reported, up to [`ShareConfig::base_instances`] instances. With more
+    /// instances the interval grows in proportion, so that what an instance sends does not grow
+    /// with their number.
     pub report_interval: Duration,
-    /// How long a share lasts; grows with the time between tellings.
+    /// How long a share is valid; grows with the report interval.
     pub lease: Duration,
-    /// Up to this many instances are few.
+    /// Number of instances up to which intervals are not scaled.
     pub base_instances: usize,
-    /// The part of the rate that owners give out; the rest covers instances without a share.
+    /// The fraction of the rate that owners grant; the rest covers instances without a share.
     pub leased_fraction: f64,
     /// Half-life of the demand estimate.
     pub half_life: Duration,
@@ -41,49 +43,50 @@
     }
 }
 
-/// Demand of one instance, told to an owner.
+/// One instance's demand, reported to the owner of the accounts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GrantRequest {
-    /// Who asks.
+    /// The reporting instance.
     pub from: InstanceId,
-    /// Tokens a second wanted, by account.
+    /// Demand in tokens per second, by account.
     pub demand: Vec<(ClientAccountId, f64)>,
 }
 
-/// Shares given by an owner.
+/// Shares granted by an owner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GrantReply {
-    /// Parts of one, by account.
+    /// Fractions of the rate, by account.
     pub shares: Vec<(ClientAccountId, f64)>,
 }
 
-/// What happens to the sharing.
+/// An input to [`LimitShares`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum ShareEvent {
-    /// Time has passed.
+    /// A wakeup that was requested through [`LimitShares::next_wakeup`].
     Tick,
-    /// The instances that take part.
+    /// The live instances changed.
     Peers {
-        /// Those that live and can be reached, this one included.
+        /// The instances that are alive and reachable, this one included.
         live: Vec<InstanceId>,
-        /// How many there should be. While fewer are seen, the others may be cut off and serve on
-        /// with an owner of their own, so only the seen ones' part of the rate is given out.
+        /// How many instances there should be. While fewer are visible, the others may be
+        /// partitioned and keep serving with an owner of their own, so only the visible instances'
+        /// fraction of the rate is granted.
         expected: usize,
     },
-    /// A request of this cost arrived here, taken in or not.
+    /// A request of this cost arrived here, whether or not it was admitted.
     Demand(ClientAccountId, f64),
-    /// Another instance tells its demand.
+    /// Another instance reports its demand.
     Request(GrantRequest),
-    /// An owner answered.
+    /// An owner replied.
     Reply(GrantReply),
 }
 
-/// What the driver does.
+/// A command to the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ShareAction {
-    /// Tell demand to an owner.
+    /// Report demand to an owner.
     SendRequest(InstanceId, GrantRequest),
-    /// Answer an instance.
+    /// Reply to an instance.
     SendReply(InstanceId, GrantReply),
     /// This instance's share of an account changed.
     SetShare(ClientAccountId, f64),
@@ -96,56 +99,56 @@
 }
 
 #[derive(Debug, Clone)]
-struct Given {
+struct Grant {
     share: f64,
     demand: f64,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 #[derive(Debug, Clone)]
-struct Owned {
-    since: Timestamp,
-    given: BTreeMap<InstanceId, Given>,
+struct OwnedAccount {
+    owned_since: Timestamp,
+    grants: BTreeMap<InstanceId, Grant>,
 }
 
-/// One instance's part in sharing, as asker and as owner.
+/// One instance's side of the share protocol, both as a requester and as an owner.
 #[derive(Debug, Clone)]
 pub struct LimitShares {
     cfg: ShareConfig,
     own: InstanceId,
     peers: Vec<InstanceId>,
-    peers_since: Timestamp,
+    peers_changed_at: Timestamp,
     expected: usize,
-    asked: Timestamp,
+    last_request_at: Timestamp,
     demand: BTreeMap<ClientAccountId, Demand>,
     shares: BTreeMap<ClientAccountId, (f64, Timestamp)>,
-    owned: BTreeMap<ClientAccountId, Owned>,
-    next: Timestamp,
+    owned: BTreeMap<ClientAccountId, OwnedAccount>,
+    next_report: Timestamp,
 }
 
 impl LimitShares {
-    /// The part of `own`, alone until told of peers.
+    /// Creates the state of instance `own`, which is alone until it learns of peers.
     pub fn new(cfg: ShareConfig, own: InstanceId) -> Self {
         Self {
             cfg,
             peers: vec![own.clone()],
             own,
-            peers_since: Timestamp::default(),
+            peers_changed_at: Timestamp::default(),
             expected: 1,
-            asked: Timestamp::default(),
+            last_request_at: Timestamp::default(),
             demand: BTreeMap::new(),
             shares: BTreeMap::new(),
             owned: BTreeMap::new(),
-            next: Timestamp::default(),
+            next_report: Timestamp::default(),
         }
     }
 
-    /// When [`ShareEvent::Tick`] is wanted next.
+    /// Returns when the next [`ShareEvent::Tick`] is needed.
     pub fn next_wakeup(&self) -> Timestamp {
-        if self.demand.is_empty() { Timestamp::NEVER } else { self.next }
+        if self.demand.is_empty() { Timestamp::NEVER } else { self.next_report }
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Timestamp, event: ShareEvent) -> Vec<ShareAction> {
         match event {
             ShareEvent::Tick => self.tick(now),
@@ -153,77 +156,78 @@
                 self.expected = expected.max(live.len());
                 if live != self.peers {
                     self.peers = live;
-                    self.peers_since = now;
+                    self.peers_changed_at = now;
                 }
                 Vec::new()
             }
-            ShareEvent::Demand(account, cost) => self.note_demand(now, account, cost),
-            ShareEvent::Request(request) => self.answer(now, request),
-            ShareEvent::Reply(reply) => self.take_shares(reply),
+            ShareEvent::Demand(account, cost) => self.record_demand(now, account, cost),
+            ShareEvent::Request(request) => self.handle_request(now, request),
+            ShareEvent::Reply(reply) => self.apply_reply(reply),
         }
     }
 
-    /// How much longer the times are than among few instances.
-    fn stretch(&self) -> f64 {
+    /// The factor by which intervals grow with the number of instances.
+    fn interval_scale(&self) -> f64 {
         (self.expected as f64 / self.cfg.base_instances as f64).max(1.0)
     }
 
     fn half_life_s(&self) -> f64 {
-        self.cfg.half_life.as_secs_f64() * self.stretch()
+        self.cfg.half_life.as_secs_f64() * self.interval_scale()
     }
 
     fn report_interval(&self) -> Duration {
-        self.cfg.report_interval.mul_f64(self.stretch())
+        self.cfg.report_interval.mul_f64(self.interval_scale())
     }
 
     fn lease(&self) -> Duration {
-        self.cfg.lease.mul_f64(self.stretch())
+        self.cfg.lease.mul_f64(self.interval_scale())
     }
 
-    /// The owner of an account among the peers known.
+    /// Returns the owner of an account among the known peers.
     pub fn owner(&self, account: &ClientAccountId) -> &InstanceId {
         let key = rendezvous_weight(account.as_str(), 0);
         self.peers.iter().max_by_key(|p| rendezvous_weight(p.as_str(), key)).unwrap_or(&self.own)
     }
 
-    fn note_demand(
+    fn record_demand(
         &mut self,
         now: Timestamp,
         account: ClientAccountId,
         cost: f64,
     ) -> Vec<ShareAction> {
         let half_life = self.half_life_s();
-        let new = !self.demand.contains_key(&account);
+        let first_seen = !self.demand.contains_key(&account);
         let demand = self.demand.entry(account.clone()).or_insert(Demand { rate: 0.0, at: now });
         demand.rate = decayed(demand, now, half_life) + cost * std::f64::consts::LN_2 / half_life;
         demand.at = now;
-        if new { self.ask(now, vec![account]) } else { Vec::new() }
+        if first_seen { self.request_shares(now, vec![account]) } else { Vec::new() }
     }
 
     fn tick(&mut self, now: Timestamp) -> Vec<ShareAction> {
-        if now < self.next {
+        if now < self.next_report {
             return Vec::new();
         }
-        self.next = now + self.report_interval();
+        self.next_report = now + self.report_interval();
         let half_life = self.half_life_s();
         self.demand.retain(|_, d| decayed(d, now, half_life) >= 1.0);
         let accounts = self.demand.keys().cloned().collect();
-        let mut actions = self.ask(now, accounts);
-        actions.extend(self.drop_lapsed(now));
+        let mut actions = self.request_shares(now, accounts);
+        actions.extend(self.replace_expired(now));
         actions
     }
 
-    /// A share that lapsed becomes an equal one while there is demand: its owner is out of reach.
-    fn drop_lapsed(&mut self, now: Timestamp) -> Vec<ShareAction> {
-        let lapsed: Vec<ClientAccountId> = self
+    /// Replaces expired shares by an equal share, because their owner cannot be reached. Without
+    /// demand the entry is removed as well.
+    fn replace_expired(&mut self, now: Timestamp) -> Vec<ShareAction> {
+        let expired: Vec<ClientAccountId> = self
             .shares
             .iter()
-            .filter(|(_, (_, until))| *until <= now)
+            .filter(|(_, (_, expires_at))| *expires_at <= now)
             .map(|(account, _)| account.clone())
             .collect();
         let equal = self.equal_share();
         let mut actions = Vec::new();
-        for account in lapsed {
+        for account in expired {
             if self.demand.contains_key(&account) {
                 actions.push(ShareAction::SetShare(account, equal));
             } else {
@@ -234,21 +238,25 @@
         actions
     }
 
-    /// The share of an instance that no owner has given one.
+    /// Returns the share of an instance that has not been granted one.
     pub fn equal_share(&self) -> f64 {
         1.0 / self.expected.max(1) as f64
     }
 
-    /// The part of the rate that this side's owners give out in all.
-    fn given_out(&self) -> f64 {
+    /// Returns the fraction of the rate that the owners on this side of a partition grant in total.
+    fn grantable(&self) -> f64 {
         if self.expected <= 1 {
             return 1.0;
         }
         self.cfg.leased_fraction * self.peers.len() as f64 / self.expected as f64
     }
 
-    fn ask(&mut self, now: Timestamp, accounts: Vec<ClientAccountId>) -> Vec<ShareAction> {
-        self.asked = now;
+    fn request_shares(
+        &mut self,
+        now: Timestamp,
+        accounts: Vec<ClientAccountId>,
+    ) -> Vec<ShareAction> {
+        self.last_request_at = now;
         let half_life = self.half_life_s();
         let mut by_owner: BTreeMap<InstanceId, Vec<(ClientAccountId, f64)>> = BTreeMap::new();
         for account in accounts {
@@ -262,59 +270,60 @@
                 actions.push(ShareAction::SendRequest(owner, request));
                 continue;
             }
-            for action in self.answer(now, request) {
+            for action in self.handle_request(now, request) {
                 if let ShareAction::SendReply(_, reply) = action {
-                    actions.extend(self.take_shares(reply));
+                    actions.extend(self.apply_reply(reply));
                 }
             }
         }
         actions
     }
 
-    fn answer(&mut self, now: Timestamp, request: GrantRequest) -> Vec<ShareAction> {
+    fn handle_request(&mut self, now: Timestamp, request: GrantRequest) -> Vec<ShareAction> {
         let mut shares = Vec::new();
         for (account, demand) in request.demand {
-            let share = self.give(now, &account, &request.from, demand);
+            let share = self.grant(now, &account, &request.from, demand);
             shares.push((account, share));
         }
         vec![ShareAction::SendReply(request.from, GrantReply { shares })]
     }
 
-    fn give(
+    fn grant(
         &mut self,
         now: Timestamp,
         account: &ClientAccountId,
         to: &InstanceId,
         demand: f64,
     ) -> f64 {
-        let all = self.given_out();
-        let equal = all / self.peers.len().max(1) as f64;
+        let total = self.grantable();
+        let equal = total / self.peers.len().max(1) as f64;
         let lease = self.lease();
         let owned = self
             .owned
             .entry(account.clone())
-            .or_insert_with(|| Owned { since: now, given: BTreeMap::new() });
-        owned.given.retain(|_, g| g.until > now);
-        let others: f64 = owned.given.iter().filter(|(i, _)| *i != to).map(|(_, g)| g.share).sum();
-        let wanted_by_others: f64 =
-            owned.given.iter().filter(|(i, _)| *i != to).map(|(_, g)| g.demand).sum();
-        let fair = all * demand / (demand + wanted_by_others).max(1e-9);
-        let since = owned.since.max(self.peers_since);
-        let young = self.peers.len() > 1 && now.since(since) < lease;
-        let most = if young { equal } else { all };
-        let share = fair.min(most).min((all - others).max(0.0));
-        let until = now + lease;
-        owned.given.insert(to.clone(), Given { share, demand, until });
+            .or_insert_with(|| OwnedAccount { owned_since: now, grants: BTreeMap::new() });
+        owned.grants.retain(|_, g| g.expires_at > now);
+        let granted_to_others: f64 =
+            owned.grants.iter().filter(|(i, _)| *i != to).map(|(_, g)| g.share).sum();
+        let demand_of_others: f64 =
+            owned.grants.iter().filter(|(i, _)| *i != to).map(|(_, g)| g.demand).sum();
+        let fair = total * demand / (demand + demand_of_others).max(1e-9);
+        let since = owned.owned_since.max(self.peers_changed_at);
+        let recently_moved = self.peers.len() > 1 && now.since(since) < lease;
+        let max_share = if recently_moved { equal } else { total };
+        let share = fair.min(max_share).min((total - granted_to_others).max(0.0));
+        let expires_at = now + lease;
+        owned.grants.insert(to.clone(), Grant { share, demand, expires_at });
         share
     }
 
-    /// Shares last from when they were asked for, so that they end here before they do at the
-    /// owner.
-    fn take_shares(&mut self, reply: GrantReply) -> Vec<ShareAction> {
-        let until = self.asked + self.lease();
+    /// Applies granted shares. They are valid from the time of the request, so that they expire
+    /// here before they expire at the owner.
+    fn apply_reply(&mut self, reply: GrantReply) -> Vec<ShareAction> {
+        let expires_at = self.last_request_at + self.lease();
         let mut actions = Vec::new();
         for (account, share) in reply.shares {
-            self.shares.insert(account.clone(), (share, until));
+            self.shares.insert(account.clone(), (share, expires_at));
             actions.push(ShareAction::SetShare(account, share));
         }
         actions
