--- a/crates/ringbend-policy/tests/bounds.rs
+++ b/crates/ringbend-policy/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! Every admitted request ends within its bound, whatever its endpoint does, and what its caller
-//! is told is true.
+//! Every admitted request ends by its deadline, whatever its endpoint does, and the run state
+//! reported to its caller is correct.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use ringbend_settings::configs::ChoiceKind;
 use ringbend_types::{Incarnation, RunState, Seed, TokenCount};
 use support::{
-    Script, cancels, dispatch, dispatches, endpoint, ends, request, seconds, with_settings,
+    Harness, cancels, dispatch, dispatches, endpoint, ends, request, seconds, with_settings,
 };
 
 fn failed(end: &RequestEnd) -> (FailureCode, RunState, bool) {
@@ -27,85 +27,85 @@
 }
 
 #[test]
-fn a_frozen_engine_is_left_for_another() {
-    let mut script = Script::new(2);
-    let first = dispatch(&script.arrive(request(1)));
-    let second = dispatch(&script.pass(Duration::from_secs(15)));
+fn an_attempt_on_a_frozen_engine_is_retried_on_another() {
+    let mut harness = Harness::new(2);
+    let first = dispatch(&harness.submit(request(1)));
+    let second = dispatch(&harness.advance(Duration::from_secs(15)));
     assert_ne!(first.endpoint, second.endpoint);
-    assert_eq!(cancels(&script.actions), [first.attempt]);
+    assert_eq!(cancels(&harness.actions), [first.attempt]);
 }
 
 #[test]
-fn an_engine_that_stops_reporting_is_left_before_its_bound() {
-    let mut script = Script::new(2);
+fn an_attempt_on_a_silent_engine_is_retried_before_its_timeout() {
+    let mut harness = Harness::new(2);
     for _ in 0..5 {
-        script.pass(Duration::from_millis(500));
-        (0..2).for_each(|n| script.idle_report(n));
+        harness.advance(Duration::from_millis(500));
+        (0..2).for_each(|n| harness.report_idle(n));
     }
-    let first = dispatch(&script.arrive(request(1)));
+    let first = dispatch(&harness.submit(request(1)));
     let other = usize::from(first.endpoint == endpoint(0));
     let mut moved = None;
     for n in 1..=10 {
-        let sent = dispatches(&script.pass(Duration::from_millis(500)));
+        let sent = dispatches(&harness.advance(Duration::from_millis(500)));
         moved = moved.or(sent.first().map(|d| (n, d.endpoint.clone())));
-        script.idle_report(other);
+        harness.report_idle(other);
     }
-    let (halves, to) = moved.unwrap();
+    let (half_seconds, to) = moved.unwrap();
     assert_eq!(to, endpoint(other));
-    assert!(halves <= 8, "moved after {halves} half seconds");
+    assert!(half_seconds <= 8, "moved after {half_seconds} half seconds");
 }
 
 #[test]
-fn a_pause_of_its_own_takes_no_request_off_its_engine() {
-    let mut script = Script::new(2);
+fn a_paused_instance_does_not_treat_its_engines_as_silent() {
+    let mut harness = Harness::new(2);
     for _ in 0..5 {
-        script.pass(Duration::from_millis(500));
-        (0..2).for_each(|n| script.idle_report(n));
+        harness.advance(Duration::from_millis(500));
+        (0..2).for_each(|n| harness.report_idle(n));
     }
-    script.arrive(request(1));
-    // Nothing runs here for five seconds, then everything that was due at once.
-    script.now = script.now + Duration::from_secs(5);
-    let actions = script.give(Event::Tick);
+    harness.submit(request(1));
+    // The instance is paused for five seconds; everything that was due then runs at once.
+    harness.now = harness.now + Duration::from_secs(5);
+    let actions = harness.handle(Event::Tick);
     assert!(cancels(&actions).is_empty(), "{actions:?}");
 }
 
 #[test]
-fn with_every_engine_frozen_the_request_fails_at_its_deadline_at_the_latest() {
-    let mut script = Script::new(2);
-    script.arrive(request(1));
-    script.pass(Duration::from_secs(60));
-    let ends = ends(&script.actions);
+fn a_request_fails_by_its_deadline_when_every_engine_is_frozen() {
+    let mut harness = Harness::new(2);
+    harness.submit(request(1));
+    harness.advance(Duration::from_secs(60));
+    let ends = ends(&harness.actions);
     assert_eq!(ends.len(), 1);
     assert_eq!(failed(&ends[0].1).1, RunState::MayHaveRun);
 }
 
 #[test]
-fn the_naive_router_waits_on_a_frozen_engine_to_the_deadline() {
+fn the_naive_policy_waits_on_a_frozen_engine_until_the_deadline() {
     let naive = NaivePolicy::new(Incarnation(1), ChoiceKind::RoundRobin, Seed(7));
-    let mut script = Script::with(Box::new(naive), 2);
-    script.arrive(request(1));
-    script.pass(Duration::from_secs(59));
-    assert_eq!(dispatches(&script.actions).len(), 1);
-    assert!(ends(&script.actions).is_empty());
+    let mut harness = Harness::with(Box::new(naive), 2);
+    harness.submit(request(1));
+    harness.advance(Duration::from_secs(59));
+    assert_eq!(dispatches(&harness.actions).len(), 1);
+    assert!(ends(&harness.actions).is_empty());
 }
 
 #[test]
-fn a_trickle_does_not_keep_a_request_beyond_its_deadline() {
-    let mut script = Script::new(1);
-    let first = dispatch(&script.arrive(request(1)));
+fn slow_progress_does_not_extend_a_request_beyond_its_deadline() {
+    let mut harness = Harness::new(1);
+    let first = dispatch(&harness.submit(request(1)));
     for tokens in 1..200 {
-        script.pass(Duration::from_secs(1));
-        script.give(Event::Progress { attempt: first.attempt, tokens });
+        harness.advance(Duration::from_secs(1));
+        harness.handle(Event::Progress { attempt: first.attempt, tokens });
     }
-    let ends = ends(&script.actions);
+    let ends = ends(&harness.actions);
     assert_eq!(failed(&ends[0].1).0, FailureCode::DeadlineExceeded);
-    assert_eq!(cancels(&script.actions), [first.attempt]);
+    assert_eq!(cancels(&harness.actions), [first.attempt]);
 }
 
 #[test]
-fn an_engine_that_serves_others_first_is_waited_for() {
-    let mut script = Script::new(2);
-    let first = dispatch(&script.arrive(request(1)));
+fn an_attempt_queued_behind_others_at_a_busy_engine_is_not_cancelled() {
+    let mut harness = Harness::new(2);
+    let first = dispatch(&harness.submit(request(1)));
     for _ in 0..50 {
         let report = LoadReport {
             running: 9,
@@ -115,108 +115,108 @@
             kv_capacity: TokenCount(400_000),
             state: EndpointState::Live,
         };
-        let at = script.now;
-        script.give(Event::Load { endpoint: first.endpoint.clone(), report, at });
-        script.pass(Duration::from_secs(1));
+        let at = harness.now;
+        harness.handle(Event::Load { endpoint: first.endpoint.clone(), report, at });
+        harness.advance(Duration::from_secs(1));
     }
-    assert!(cancels(&script.actions).is_empty(), "{:?}", script.actions);
+    assert!(cancels(&harness.actions).is_empty(), "{:?}", harness.actions);
 }
 
 #[test]
-fn a_long_prompt_that_is_not_run_waits_and_is_not_dropped() {
-    let mut script = Script::new(2);
+fn a_long_prompt_that_was_not_run_is_retried_until_its_deadline() {
+    let mut harness = Harness::new(2);
     let mut long = request(1);
     long.prompt_tokens = TokenCount(200_000);
     long.deadline = seconds(600);
-    let mut next = dispatches(&script.arrive(long));
+    let mut next = dispatches(&harness.submit(long));
     for _ in 0..40 {
         if let Some(dispatch) = next.pop() {
             let attempt = dispatch.attempt;
-            script.give(Event::Ended { attempt, end: AttemptEnd::NotSent });
+            harness.handle(Event::Ended { attempt, end: AttemptEnd::NotSent });
         }
-        next.extend(dispatches(&script.pass(Duration::from_secs(5))));
+        next.extend(dispatches(&harness.advance(Duration::from_secs(5))));
     }
-    assert!(ends(&script.actions).is_empty(), "{:?}", ends(&script.actions));
-    assert!(dispatches(&script.actions).len() > 10);
+    assert!(ends(&harness.actions).is_empty(), "{:?}", ends(&harness.actions));
+    assert!(dispatches(&harness.actions).len() > 10);
 }
 
 #[test]
-fn an_engine_that_dies_in_mid_answer_is_continued_from_the_tokens_delivered() {
-    let mut script = Script::new(2);
-    let first = dispatch(&script.arrive(request(1)));
-    script.give(Event::Progress { attempt: first.attempt, tokens: 6 });
-    script.give(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
-    let second = dispatch(&script.pass(Duration::from_secs(1)));
+fn a_broken_response_resumes_after_the_tokens_delivered() {
+    let mut harness = Harness::new(2);
+    let first = dispatch(&harness.submit(request(1)));
+    harness.handle(Event::Progress { attempt: first.attempt, tokens: 6 });
+    harness.handle(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
+    let second = dispatch(&harness.advance(Duration::from_secs(1)));
     assert_eq!((second.resume_from, second.number), (6, 2));
     assert_ne!(second.endpoint, first.endpoint);
 }
 
 #[test]
-fn a_request_not_to_be_repeated_is_not_sent_again_once_it_may_have_run() {
-    let mut script = Script::new(2);
-    let mut once = request(1);
-    once.repeatable = false;
-    let first = dispatch(&script.arrive(once));
-    let actions = script.give(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
+fn a_non_repeatable_request_is_not_retried_once_it_may_have_run() {
+    let mut harness = Harness::new(2);
+    let mut non_repeatable = request(1);
+    non_repeatable.repeatable = false;
+    let first = dispatch(&harness.submit(non_repeatable));
+    let actions = harness.handle(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
     let (code, run_state, _) = failed(&ends(&actions)[0].1);
     assert_eq!((code, run_state), (FailureCode::EndpointFailed, RunState::MayHaveRun));
-    assert!(dispatches(&script.pass(Duration::from_secs(60))).is_empty());
+    assert!(dispatches(&harness.advance(Duration::from_secs(60))).is_empty());
 }
 
 #[test]
-fn the_naive_router_sends_it_again() {
+fn the_naive_policy_retries_a_non_repeatable_request() {
     let naive = NaivePolicy::new(Incarnation(1), ChoiceKind::RoundRobin, Seed(7));
-    let mut script = Script::with(Box::new(naive), 2);
-    let mut once = request(1);
-    once.repeatable = false;
-    let first = dispatch(&script.arrive(once));
-    let actions = script.give(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
+    let mut harness = Harness::with(Box::new(naive), 2);
+    let mut non_repeatable = request(1);
+    non_repeatable.repeatable = false;
+    let first = dispatch(&harness.submit(non_repeatable));
+    let actions = harness.handle(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
     assert_eq!(dispatches(&actions).len(), 1);
 }
 
 #[test]
-fn a_request_not_to_be_repeated_is_sent_again_when_it_was_not_run() {
+fn a_non_repeatable_request_is_retried_when_it_was_not_run() {
     for end in [AttemptEnd::NotSent, AttemptEnd::Refused { retry_after: None }] {
-        let mut script = Script::new(2);
-        let mut once = request(1);
-        once.repeatable = false;
-        let first = dispatch(&script.arrive(once));
-        script.give(Event::Ended { attempt: first.attempt, end });
-        assert_eq!(dispatches(&script.pass(Duration::from_secs(1))).len(), 1);
+        let mut harness = Harness::new(2);
+        let mut non_repeatable = request(1);
+        non_repeatable.repeatable = false;
+        let first = dispatch(&harness.submit(non_repeatable));
+        harness.handle(Event::Ended { attempt: first.attempt, end });
+        assert_eq!(dispatches(&harness.advance(Duration::from_secs(1))).len(), 1);
     }
 }
 
 #[test]
-fn refused_by_every_attempt_is_told_not_run_with_a_time_to_come_back() {
-    let mut script = Script::new(1);
-    let mut next = dispatches(&script.arrive(request(1)));
+fn a_request_refused_by_every_attempt_fails_as_not_run_with_a_retry_after() {
+    let mut harness = Harness::new(1);
+    let mut next = dispatches(&harness.submit(request(1)));
     while let Some(dispatch) = next.pop() {
         let end = AttemptEnd::Refused { retry_after: Some(Duration::from_secs(1)) };
-        script.give(Event::Ended { attempt: dispatch.attempt, end });
-        next = dispatches(&script.pass(Duration::from_secs(5)));
+        harness.handle(Event::Ended { attempt: dispatch.attempt, end });
+        next = dispatches(&harness.advance(Duration::from_secs(5)));
     }
-    let (code, run_state, come_back) = failed(&ends(&script.actions)[0].1);
+    let (code, run_state, has_retry_after) = failed(&ends(&harness.actions)[0].1);
     assert_eq!((code, run_state), (FailureCode::EndpointFailed, RunState::NotRun));
-    assert!(come_back);
+    assert!(has_retry_after);
 }
 
 #[test]
-fn what_is_given_up_is_answered_at_once() {
-    let mut script = Script::new(1);
+fn a_request_without_retries_left_fails_immediately() {
+    let mut harness = Harness::new(1);
     let profile = with_settings(1, |s| s.retries.attempts = 1);
-    let first = dispatch(&script.arrive(profile));
-    let actions = script.give(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
-    assert_eq!(ends(&actions).len(), 1, "the end is not held back");
+    let first = dispatch(&harness.submit(profile));
+    let actions = harness.handle(Event::Ended { attempt: first.attempt, end: AttemptEnd::Broken });
+    assert_eq!(ends(&actions).len(), 1, "the failure is not reported immediately");
 }
 
 #[test]
-fn a_full_queue_refuses_at_once_with_a_time_to_come_back() {
-    let mut script = Script::new(1);
+fn a_full_queue_rejects_requests_with_a_jittered_retry_after() {
+    let mut harness = Harness::new(1);
     let mut rejected = Vec::new();
     for id in 0..400 {
         let mut profile = with_settings(id, |s| s.admission.max_queued = 50);
         profile.deadline = seconds(3_600);
-        for action in script.arrive(profile) {
+        for action in harness.submit(profile) {
             if let Action::Rejected { code, retry_after, .. } = action {
                 rejected.push((code, retry_after));
             }
@@ -227,34 +227,34 @@
     let mut waits: Vec<_> = rejected.iter().map(|(_, wait)| *wait).collect();
     waits.sort();
     waits.dedup();
-    assert!(waits.len() > rejected.len() / 2, "callers are told to come back together");
+    assert!(waits.len() > rejected.len() / 2, "too many callers get the same Retry-After");
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_admission() {
-    let mut script = Script::new(1);
+fn a_request_whose_deadline_cannot_be_met_is_rejected_at_admission() {
+    let mut harness = Harness::new(1);
     let mut profile = request(1);
-    profile.deadline = script.now + Duration::from_millis(10);
-    let actions = script.arrive(profile);
+    profile.deadline = harness.now + Duration::from_millis(10);
+    let actions = harness.submit(profile);
     let code = FailureCode::DeadlineTooNear;
     assert!(matches!(&actions[..], [Action::Rejected { code: c, .. }] if *c == code));
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_more_though_the_list_has_it_live() {
-    let mut script = Script::new(2);
-    script.give(Event::EndpointLeaving(endpoint(0)));
-    script.give(Event::Endpoints((0..2).map(support::entry).collect()));
+fn a_leaving_endpoint_gets_no_requests_while_the_list_still_has_it_live() {
+    let mut harness = Harness::new(2);
+    harness.handle(Event::EndpointLeaving(endpoint(0)));
+    harness.handle(Event::Endpoints((0..2).map(support::entry).collect()));
     for id in 0..20 {
-        for dispatch in dispatches(&script.arrive(request(id))) {
+        for dispatch in dispatches(&harness.submit(request(id))) {
             assert_eq!(dispatch.endpoint, endpoint(1));
         }
     }
 }
 
 #[test]
-fn a_changed_setting_of_the_choice_is_in_force_at_once() {
-    let mut script = Script::new(2);
+fn a_changed_routing_setting_takes_effect_immediately() {
+    let mut harness = Harness::new(2);
     let with_bound = |id, bound| {
         let mut profile = with_settings(id, |s| {
             s.routing.choice = ChoiceKind::PrefixAffinity;
@@ -263,25 +263,26 @@
         profile.prefix = 5;
         profile
     };
-    let home = dispatch(&script.arrive(with_bound(1, 1_000))).endpoint;
+    let home = dispatch(&harness.submit(with_bound(1, 1_000))).endpoint;
     for id in 2..4 {
-        assert_eq!(dispatch(&script.arrive(with_bound(id, 1_000))).endpoint, home);
+        assert_eq!(dispatch(&harness.submit(with_bound(id, 1_000))).endpoint, home);
     }
-    // Three at home are over the mean of two, so the lower bound sends the next one elsewhere.
-    assert_ne!(dispatch(&script.arrive(with_bound(4, 100))).endpoint, home);
+    // Three requests at the home engine exceed the mean of two, so the lower bound sends the next
+    // one elsewhere.
+    assert_ne!(dispatch(&harness.submit(with_bound(4, 100))).endpoint, home);
 }
 
 #[test]
 fn a_withdrawn_request_is_cancelled_at_its_endpoint() {
-    let mut script = Script::new(1);
-    let first = dispatch(&script.arrive(request(1)));
-    let actions = script.give(Event::Withdrawn(request(1).id));
+    let mut harness = Harness::new(1);
+    let first = dispatch(&harness.submit(request(1)));
+    let actions = harness.handle(Event::Withdrawn(request(1).id));
     assert_eq!(cancels(&actions), [first.attempt]);
-    assert!(ends(&script.pass(Duration::from_secs(100))).is_empty());
+    assert!(ends(&harness.advance(Duration::from_secs(100))).is_empty());
 }
 
 #[test]
-fn the_table_of_ends_says_what_may_follow() {
+fn every_attempt_end_maps_to_its_run_state_and_next_step() {
     let refused = AttemptEnd::Refused { retry_after: None };
     let table = [
         (AttemptEnd::Complete, None, AfterAttempt::Answered, AfterAttempt::Answered),
@@ -290,31 +291,31 @@
         (AttemptEnd::Broken, Some(RunState::MayHaveRun), AfterAttempt::Retry, AfterAttempt::End),
         (AttemptEnd::EndpointError, Some(RunState::Failed), AfterAttempt::Retry, AfterAttempt::End),
     ];
-    for (end, word, repeatable, once) in table {
-        assert_eq!(run_state(end), word, "{end:?}");
+    for (end, expected_run_state, repeatable, non_repeatable) in table {
+        assert_eq!(run_state(end), expected_run_state, "{end:?}");
         assert_eq!(after_attempt(end, true), repeatable, "{end:?}");
-        assert_eq!(after_attempt(end, false), once, "{end:?}");
+        assert_eq!(after_attempt(end, false), non_repeatable, "{end:?}");
     }
 }
 
-/// Random events for a few requests: each admitted one ends exactly once by its deadline, is
-/// never dispatched after its end, is told "not run" only when no attempt reached an endpoint, and
-/// runs at most once where it must not be repeated.
-fn ends_once_and_truly(events: Vec<(u8, u8, u8)>) -> TestResult {
-    let mut script = Script::new(3);
+/// Property: for random events on a few requests, each admitted request ends exactly once by its
+/// deadline, is never dispatched after its end, is reported as not run only if no attempt reached
+/// an endpoint, and runs at most once if it is not repeatable.
+fn ends_once_with_correct_run_state(events: Vec<(u8, u8, u8)>) -> TestResult {
+    let mut harness = Harness::new(3);
     let requests = 6;
     for id in 0..requests {
         let mut profile = request(id);
         profile.repeatable = id % 2 == 0;
-        script.arrive(profile);
+        harness.submit(profile);
     }
     let mut reached = vec![0_u32; requests as usize];
     let mut settled = 0;
     for (which, kind, wait) in events {
-        script.pass(Duration::from_millis(u64::from(wait) * 20));
-        let open: Vec<_> = dispatches(&script.actions)
+        harness.advance(Duration::from_millis(u64::from(wait) * 20));
+        let open: Vec<_> = dispatches(&harness.actions)
             .into_iter()
-            .filter(|d| !ends(&script.actions).iter().any(|(id, _)| *id == d.request))
+            .filter(|d| !ends(&harness.actions).iter().any(|(id, _)| *id == d.request))
             .collect();
         if open.is_empty() {
             continue;
@@ -328,7 +329,7 @@
             3 => AttemptEnd::EndpointError,
             4 => AttemptEnd::Complete,
             _ => {
-                script.give(Event::Progress { attempt, tokens: u64::from(wait) + 1 });
+                harness.handle(Event::Progress { attempt, tokens: u64::from(wait) + 1 });
                 continue;
             }
         };
@@ -336,11 +337,11 @@
         if run_state(end) != Some(RunState::NotRun) && last == Some(dispatch) {
             reached[dispatch.request.sequence as usize] += 1;
         }
-        script.give(Event::Ended { attempt, end });
+        harness.handle(Event::Ended { attempt, end });
         settled += 1;
     }
-    script.pass(Duration::from_secs(120));
-    let all = ends(&script.actions);
+    harness.advance(Duration::from_secs(120));
+    let all = ends(&harness.actions);
     for id in 0..requests {
         let of: Vec<_> = all.iter().filter(|(r, _)| r.sequence == id).collect();
         if of.len() != 1 {
@@ -348,7 +349,9 @@
         }
         let not_run = matches!(of[0].1, RequestEnd::Failed { run_state: RunState::NotRun, .. });
         if not_run && reached[id as usize] > 0 {
-            return TestResult::error(format!("request {id} was told not run after {settled}"));
+            return TestResult::error(format!(
+                "request {id} was reported as not run after {settled} attempt ends"
+            ));
         }
         if id % 2 == 1 && reached[id as usize] > 1 {
             return TestResult::error(format!("request {id} ran {} times", reached[id as usize]));
@@ -358,8 +361,8 @@
 }
 
 #[test]
-fn every_request_ends_once_and_is_told_the_truth() {
+fn every_request_ends_once_with_a_correct_run_state() {
     let seeded = Gen::from_size_and_seed(60, 7);
-    let holds = ends_once_and_truly as fn(Vec<(u8, u8, u8)>) -> TestResult;
-    QuickCheck::new().tests(400).rng(seeded).quickcheck(holds);
+    let property = ends_once_with_correct_run_state as fn(Vec<(u8, u8, u8)>) -> TestResult;
+    QuickCheck::new().tests(400).rng(seeded).quickcheck(property);
 }
--- a/crates/ringbend-policy/tests/limits.rs
+++ b/crates/ringbend-policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of client accounts, shares between instances, retries and fairness.
+//! Client account limits, their shares between instances, retries and fairness.
 
 mod support;
 
@@ -12,11 +12,11 @@
 };
 use ringbend_settings::configs::RetriesConfig;
 use ringbend_types::{InstanceId, Timestamp, TokenCount, TokensPerSecond};
-use support::{Script, seconds, with_settings};
+use support::{Harness, seconds, with_settings};
 
 #[test]
-fn an_account_over_its_rate_is_refused_and_told_when_to_come_back() {
-    let mut script = Script::new(4);
+fn an_account_over_its_rate_is_rejected_with_a_retry_after() {
+    let mut harness = Harness::new(4);
     let limited = |id| {
         with_settings(id, |s| {
             s.limits.tokens_per_s = 1_000;
@@ -26,7 +26,7 @@
     let mut admitted = 0;
     let mut wait = None;
     for id in 0..4 {
-        for action in script.arrive(limited(id)) {
+        for action in harness.submit(limited(id)) {
             match action {
                 Action::Admitted(_) => admitted += 1,
                 Action::Rejected { code, retry_after, .. } => {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn shares_that_an_owner_has_out_never_sum_to_more_than_one() {
+fn granted_shares_never_sum_to_more_than_one() {
     let ids: Vec<InstanceId> = (0..5).map(|n| format!("i{n}").parse().unwrap()).collect();
     let account = || "peach".parse().unwrap();
     let new = |id: &InstanceId| LimitShares::new(ShareConfig::default(), id.clone());
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn delays_fill_the_whole_window_and_start_at_the_floor() {
+fn retry_delays_are_uniform_over_the_window_above_the_floor() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let backoff = Backoff::new(&RetriesConfig::default());
     let floor = Duration::from_secs(1);
     let delays: Vec<Duration> =
         (0..1_000).map(|_| backoff.delay(3, Some(floor), &mut rng)).collect();
     assert!(delays.iter().all(|d| *d >= floor && *d <= floor + Duration::from_millis(200)));
-    // Bucketed at a tenth of the window, no bucket is empty and none holds a third.
+    // In buckets of a tenth of the window, each holds between half and twice the expected number.
     let mut buckets = [0; 10];
     for delay in delays {
         buckets[((delay - floor).as_millis() / 20).min(9) as usize] += 1;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn callers_are_not_told_to_come_back_together() {
+fn retry_after_values_are_spread_between_callers() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let waits: Vec<Duration> =
         (0..100).map(|_| jittered_retry_after(Duration::from_secs(4), &mut rng)).collect();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn retries_are_a_part_of_first_attempts() {
+fn retries_are_limited_to_a_fraction_of_first_attempts() {
     let mut budget = RetryBudget::default();
     for _ in 0..100 {
         budget.first_attempt(seconds(0));
@@ -124,9 +124,9 @@
 }
 
 #[test]
-fn a_waiting_request_rises_with_time() {
-    let mut script = Script::new(1);
-    // Fill the engine's memory so that both wait.
+fn a_queued_request_gains_priority_with_time() {
+    let mut harness = Harness::new(1);
+    // The first request fills the engine's memory, so that the other two are queued.
     let big = |id, priority| {
         let mut profile = with_settings(id, |s| {
             s.class.priority = priority;
@@ -137,19 +137,19 @@
         profile.deadline = seconds(3_000);
         profile
     };
-    let first = support::dispatch(&script.arrive(big(1, 0)));
-    script.arrive(big(2, 6));
-    script.pass(Duration::from_secs(7));
-    script.arrive(big(3, 1));
-    script.pass(Duration::from_secs(1));
+    let first = support::dispatch(&harness.submit(big(1, 0)));
+    harness.submit(big(2, 6));
+    harness.advance(Duration::from_secs(7));
+    harness.submit(big(3, 1));
+    harness.advance(Duration::from_secs(1));
     let end = ringbend_policy::AttemptEnd::Complete;
-    let actions = script.give(Event::Ended { attempt: first.attempt, end });
+    let actions = harness.handle(Event::Ended { attempt: first.attempt, end });
     assert_eq!(support::dispatch(&actions).request.sequence, 2);
 }
 
 #[test]
-fn accounts_take_turns_by_weight() {
-    let mut script = Script::new(1);
+fn accounts_share_endpoints_by_weight() {
+    let mut harness = Harness::new(1);
     let of = |id, account: &str, weight| {
         let mut profile = with_settings(id, |s| {
             s.limits.weight = weight;
@@ -159,21 +159,22 @@
         profile.deadline = seconds(3_000);
         profile
     };
-    // A noisy account sends a hundred first; then a quiet one sends ten with the same weight.
+    // A noisy account submits a hundred requests, then a quiet one with the same weight submits
+    // ten.
     for id in 0..100 {
-        script.arrive(of(id, "noisy", 100));
+        harness.submit(of(id, "noisy", 100));
     }
     for id in 100..110 {
-        script.arrive(of(id, "quiet", 100));
+        harness.submit(of(id, "quiet", 100));
     }
     let mut order = Vec::new();
-    let mut open = support::dispatches(&script.actions);
+    let mut open = support::dispatches(&harness.actions);
     while let Some(dispatch) = open.pop() {
         order.push(dispatch.request.sequence);
         let attempt = dispatch.attempt;
-        script.give(Event::Progress { attempt, tokens: 1 });
+        harness.handle(Event::Progress { attempt, tokens: 1 });
         let end = ringbend_policy::AttemptEnd::Complete;
-        open.extend(support::dispatches(&script.give(Event::Ended { attempt, end })));
+        open.extend(support::dispatches(&harness.handle(Event::Ended { attempt, end })));
     }
     let last_quiet = order.iter().rposition(|id| *id >= 100).unwrap();
     assert!(last_quiet < 50, "the quiet account's last request came {last_quiet}th");
--- a/crates/ringbend-policy/tests/support/mod.rs
+++ b/crates/ringbend-policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders and a scripted driver for the policy's tests.
+//! Request builders and a test harness for policies.
 
 #![allow(dead_code)]
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A request with a builder's defaults: a thousand tokens, a minute, repeatable.
+/// Returns a repeatable request with a thousand prompt tokens and a deadline of one minute.
 pub(crate) fn request(id: u64) -> RequestProfile {
     RequestProfile {
         id: RequestId { incarnation: 9, sequence: id },
@@ -59,14 +59,14 @@
     RequestProfile { settings: Arc::new(settings), ..request(id) }
 }
 
-/// A policy with a script's clock and a record of what it did.
-pub(crate) struct Script {
+/// Drives a policy in virtual time and records its actions.
+pub(crate) struct Harness {
     pub(crate) policy: Box<dyn Policy>,
     pub(crate) now: Timestamp,
     pub(crate) actions: Vec<Action>,
 }
 
-impl Script {
+impl Harness {
     pub(crate) fn new(engines: usize) -> Self {
         let dispatcher = Dispatcher::new(DispatcherConfig {
             instance: "instance-1".parse().unwrap(),
@@ -77,35 +77,35 @@
     }
 
     pub(crate) fn with(policy: Box<dyn Policy>, engines: usize) -> Self {
-        let mut script = Self { policy, now: Timestamp(0), actions: Vec::new() };
-        script.give(Event::Endpoints((0..engines).map(entry).collect()));
-        script
+        let mut harness = Self { policy, now: Timestamp(0), actions: Vec::new() };
+        harness.handle(Event::Endpoints((0..engines).map(entry).collect()));
+        harness
     }
 
-    /// Gives an event and returns what was done at once.
-    pub(crate) fn give(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the policy and returns the resulting actions.
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let actions = self.policy.handle(self.now, event);
         self.actions.extend(actions.clone());
         actions
     }
 
-    /// Lets time pass, waking the policy whenever it asks.
-    pub(crate) fn pass(&mut self, time: Duration) -> Vec<Action> {
+    /// Advances the clock, waking the policy whenever it asks for it.
+    pub(crate) fn advance(&mut self, time: Duration) -> Vec<Action> {
         let end = self.now + time;
         let mut all = Vec::new();
         while self.policy.next_wakeup() <= end {
             self.now = self.policy.next_wakeup().max(self.now + Duration::from_micros(1));
-            all.extend(self.give(Event::Tick));
+            all.extend(self.handle(Event::Tick));
         }
         self.now = end;
         all
     }
 
-    pub(crate) fn arrive(&mut self, profile: RequestProfile) -> Vec<Action> {
-        self.give(Event::Arrived(profile))
+    pub(crate) fn submit(&mut self, profile: RequestProfile) -> Vec<Action> {
+        self.handle(Event::Arrived(profile))
     }
 
-    pub(crate) fn idle_report(&mut self, n: usize) {
+    pub(crate) fn report_idle(&mut self, n: usize) {
         let report = LoadReport {
             running: 0,
             waiting: 0,
@@ -115,7 +115,7 @@
             state: EndpointState::Live,
         };
         let at = self.now;
-        self.give(Event::Load { endpoint: endpoint(n), report, at });
+        self.handle(Event::Load { endpoint: endpoint(n), report, at });
     }
 }
 
@@ -127,7 +127,7 @@
     actions.iter().filter_map(dispatch).collect()
 }
 
-/// The one dispatch among the actions.
+/// Returns the only dispatch among the actions.
 pub(crate) fn dispatch(actions: &[Action]) -> Dispatch {
     match &dispatches(actions)[..] {
         [only] => only.clone(),
