--- a/crates/ringbend-policy/src/dispatcher.rs
+++ b/crates/ringbend-policy/src/dispatcher.rs
@@ -67,7 +67,7 @@
 enum Stage {
     Claiming,
     Queued,
-    Waiting { until: Timestamp },
+    Backoff { until: Timestamp },
     Reserving(GroupReservation),
     Running(RunningAttempt),
 }
--- a/crates/ringbend-policy/src/dispatcher/completion.rs
+++ b/crates/ringbend-policy/src/dispatcher/completion.rs
@@ -71,7 +71,7 @@
         // Only the endpoint that sent the Retry-After backs off that long; others may be tried
         // sooner.
         let delay = Backoff::new(retries).delay(request.attempts, None, &mut self.rng);
-        request.stage = Stage::Waiting { until: now + delay };
+        request.stage = Stage::Backoff { until: now + delay };
         self.set_timer(id);
     }
 
@@ -110,7 +110,7 @@
                 self.queue.remove(id);
                 return;
             }
-            Stage::Claiming | Stage::Waiting { .. } => return,
+            Stage::Claiming | Stage::Backoff { .. } => return,
         };
         self.attempts.remove(&attempt);
         for HeldMemory { endpoint, .. } in held {
--- a/crates/ringbend-policy/src/dispatcher/dispatching.rs
+++ b/crates/ringbend-policy/src/dispatcher/dispatching.rs
@@ -137,7 +137,7 @@
         }
         self.stop_attempt(now, id, None, false, out);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.stage = Stage::Waiting { until: now + RESERVE_RETRY_INTERVAL };
+            request.stage = Stage::Backoff { until: now + RESERVE_RETRY_INTERVAL };
         }
         self.set_timer(id);
         true
--- a/crates/ringbend-policy/src/dispatcher/timers.rs
+++ b/crates/ringbend-policy/src/dispatcher/timers.rs
@@ -13,7 +13,7 @@
         let idle = Duration::from_millis(request.profile.settings.timeouts.idle_ms);
         let due = match &request.stage {
             Stage::Claiming | Stage::Queued => Timestamp::NEVER,
-            Stage::Waiting { until } => *until,
+            Stage::Backoff { until } => *until,
             Stage::Reserving(g) if g.pending => Timestamp::NEVER,
             Stage::Reserving(g) => g.retry_at,
             Stage::Running(r) if r.got_first_token => r.last_progress + idle,
@@ -54,7 +54,7 @@
             return self.fail(id, FailureCode::DeadlineExceeded, wait, out);
         }
         match &request.stage {
-            Stage::Waiting { .. } => self.enqueue(now, id),
+            Stage::Backoff { .. } => self.enqueue(now, id),
             Stage::Reserving(_) => self.continue_reservation(now, id, out),
             Stage::Running(running) => {
                 let (attempt, endpoint) = (running.attempt, running.endpoint.clone());
--- a/crates/ringbend-policy/src/endpoint_view.rs
+++ b/crates/ringbend-policy/src/endpoint_view.rs
@@ -25,7 +25,7 @@
 pub(crate) const PREFIX_TOKENS: u64 = 2_048;
 
 /// Maximum number of prefix hashes remembered per endpoint.
-const PREFIXES_KEPT: usize = 512;
+const MAX_PREFIXES: usize = 512;
 
 /// Backoff after an endpoint's first failure; doubles with each consecutive failure.
 const BACKOFF_BASE: Duration = Duration::from_millis(250);
@@ -239,7 +239,7 @@
 
     fn remember_prefix(&mut self, now: Timestamp, prefix: u64) {
         self.prefixes.insert(prefix, now);
-        if self.prefixes.len() > PREFIXES_KEPT {
+        if self.prefixes.len() > MAX_PREFIXES {
             let oldest = self.prefixes.iter().min_by_key(|(_, at)| **at).map(|(p, _)| *p);
             if let Some(oldest) = oldest {
                 self.prefixes.remove(&oldest);
@@ -264,11 +264,11 @@
     }
 
     /// Records a failed attempt and backs off from the endpoint.
-    pub(crate) fn record_failure(&mut self, now: Timestamp, least: Option<Duration>) {
+    pub(crate) fn record_failure(&mut self, now: Timestamp, minimum: Option<Duration>) {
         self.failures += 1;
         let doublings = (self.failures - 1).min(8);
         let backoff = BACKOFF_BASE.saturating_mul(1 << doublings).min(BACKOFF_CAP);
-        self.backoff_until = now + backoff.max(least.unwrap_or_default());
+        self.backoff_until = now + backoff.max(minimum.unwrap_or_default());
         self.prefixes.clear();
     }
 
--- a/crates/ringbend-policy/src/placement.rs
+++ b/crates/ringbend-policy/src/placement.rs
@@ -18,8 +18,9 @@
 /// Maximum number of this instance's requests at one endpoint of a plain service.
 const MAX_REQUESTS_PER_SERVICE_ENDPOINT: usize = 256;
 
-/// Added to the prediction for a long prompt at an engine whose home is another instance, so that
-/// instances which see the same outdated report do not all send to the same engine.
+/// Added to the prediction for a long prompt at an engine whose home is another instance (see
+/// [`has_other_home`]), so that instances which see the same outdated report do not all send to
+/// the same engine.
 const NON_HOME_PENALTY: Duration = Duration::from_millis(500);
 
 /// All endpoints known to this instance.
@@ -138,7 +139,7 @@
         let fits = |view: &&EndpointView| {
             let id = &view.entry.id;
             view.is_open(now)
-                && self.has_room(now, view, profile)
+                && self.has_capacity(now, view, profile)
                 && !(long && reserving.contains(id))
         };
         let candidate = |view: &EndpointView| {
@@ -152,13 +153,13 @@
         };
         let all: Vec<&EndpointView> = self.of_service(&profile.service).filter(fits).collect();
         // Silent engines, and the one that just failed, are used only if there is no other.
-        let better = |v: &&&EndpointView| Some(&v.entry.id) != avoid && !v.is_silent(now);
-        let others: Vec<&EndpointView> = all.iter().filter(better).copied().collect();
+        let preferred = |v: &&&EndpointView| Some(&v.entry.id) != avoid && !v.is_silent(now);
+        let others: Vec<&EndpointView> = all.iter().filter(preferred).copied().collect();
         let best = if others.is_empty() { all } else { others };
         best.into_iter().map(candidate).collect()
     }
 
-    fn has_room(&self, now: Timestamp, view: &EndpointView, profile: &RequestProfile) -> bool {
+    fn has_capacity(&self, now: Timestamp, view: &EndpointView, profile: &RequestProfile) -> bool {
         if profile.kind == EndpointKind::Service {
             return view.own_requests() < MAX_REQUESTS_PER_SERVICE_ENDPOINT;
         }
@@ -208,7 +209,8 @@
     }
 }
 
-/// Returns whether another instance is the home of this engine's long prompts.
+/// Returns whether the home of this engine, the instance preferred for its long prompts, is
+/// another instance. Homes are assigned by rendezvous hashing.
 pub(crate) fn has_other_home(
     endpoint: &EndpointId,
     own: &InstanceId,
--- a/crates/ringbendd/src/peers/quic.rs
+++ b/crates/ringbendd/src/peers/quic.rs
@@ -170,7 +170,7 @@
                 return Err(PeerError::Unreachable);
             }
             match tokio::time::timeout(REQUEST_TIMEOUT, rx).await {
-                Ok(Ok(answer)) => answer,
+                Ok(Ok(response)) => response,
                 _ => Err(PeerError::Unreachable),
             }
         }
@@ -220,8 +220,9 @@
         _ => return Err(PeerError::Unreachable),
     };
     let hello_request = Envelope { body: Some(envelope::Body::Hello(hello.clone())) };
-    let answer = tokio::time::timeout(REQUEST_TIMEOUT, request(&connection, &hello_request)).await;
-    match answer {
+    let response =
+        tokio::time::timeout(REQUEST_TIMEOUT, request(&connection, &hello_request)).await;
+    match response {
         Ok(Ok(Envelope { body: Some(envelope::Body::Hello(theirs)) }))
             if theirs.protocol == PROTOCOL_VERSION =>
         {
@@ -253,9 +254,9 @@
     let bytes = request_envelope.encode_to_vec();
     tx.write_all(&bytes).await.map_err(|_| PeerError::Unreachable)?;
     tx.finish().map_err(|_| PeerError::Unreachable)?;
-    let answer = rx.read_to_end(MAX_MESSAGE_BYTES).await;
-    let answer = answer.map_err(|_| PeerError::Unreachable)?;
-    Envelope::decode(answer.as_slice()).map_err(|e| PeerError::Malformed(WireError::Decode(e)))
+    let response = rx.read_to_end(MAX_MESSAGE_BYTES).await;
+    let response = response.map_err(|_| PeerError::Unreachable)?;
+    Envelope::decode(response.as_slice()).map_err(|e| PeerError::Malformed(WireError::Decode(e)))
 }
 
 /// Receives a peer's messages and requests on a connection until it closes.
@@ -308,8 +309,8 @@
     let Ok(bytes) = rx.read_to_end(MAX_MESSAGE_BYTES).await else { return };
     let Ok(request_envelope) = Envelope::decode(bytes.as_slice()) else { return };
     let Some(app) = app.upgrade() else { return };
-    if let Some(answer) = app.peers.handle_request(&app, request_envelope) {
-        let _ = tx.write_all(&answer.encode_to_vec()).await;
+    if let Some(response) = app.peers.handle_request(&app, request_envelope) {
+        let _ = tx.write_all(&response.encode_to_vec()).await;
         let _ = tx.finish();
     }
 }
