--- a/crates/ringbendd/tests/config.rs
+++ b/crates/ringbendd/tests/config.rs
@@ -1,8 +1,8 @@
-//! The daemon's settings file: what is wrong with it is said with its place.
+//! Parsing of the daemon's settings file: errors and warnings name the setting they are about.
 
 use ringbendd::DaemonConfig;
 
-const GOOD: &str = r#"
+const VALID_CONFIG: &str = r#"
 instance = "a1"
 data_centre = "dc"
 callers_address = "127.0.0.1:8080"
@@ -24,26 +24,26 @@
 "#;
 
 #[test]
-fn a_good_file_is_read_with_its_defaults() {
-    let (cfg, warnings) = DaemonConfig::parse(GOOD).unwrap();
+fn a_valid_file_is_parsed_with_defaults() {
+    let (cfg, warnings) = DaemonConfig::parse(VALID_CONFIG).unwrap();
     assert!(warnings.is_empty(), "{warnings:?}");
     assert_eq!((cfg.platform.poll_ms, cfg.shutdown.grace_s), (1_000, 3_600));
 }
 
 #[test]
-fn an_unknown_name_is_a_warning_with_its_path_and_the_nearest_name() {
-    let text = GOOD.replace("[platform]", "[platform]\npol_ms = 5");
+fn an_unknown_name_gives_a_warning_with_its_path_and_the_nearest_name() {
+    let text = VALID_CONFIG.replace("[platform]", "[platform]\npol_ms = 5");
     let (_, warnings) = DaemonConfig::parse(&text).unwrap();
     let expected = "unknown setting \"platform.pol_ms\"; did you mean \"poll_ms\"?";
     assert_eq!(warnings, [expected]);
 }
 
 #[test]
-fn a_missing_or_wrong_value_names_itself() {
+fn a_missing_or_invalid_value_is_named_in_the_error() {
     let cases = [
-        (GOOD.replace("instance = \"a1\"", ""), "instance"),
-        (GOOD.replace("127.0.0.1:8081", "nowhere"), "admin_address"),
-        (GOOD.replace("\"a1\"", "\"no spaces\""), "instance"),
+        (VALID_CONFIG.replace("instance = \"a1\"", ""), "instance"),
+        (VALID_CONFIG.replace("127.0.0.1:8081", "nowhere"), "admin_address"),
+        (VALID_CONFIG.replace("\"a1\"", "\"no spaces\""), "instance"),
     ];
     for (text, name) in cases {
         let report = format!("{:?}", DaemonConfig::parse(&text).unwrap_err());
