--- a/crates/ringbendd/src/callers/attempt.rs
+++ b/crates/ringbendd/src/callers/attempt.rs
@@ -26,7 +26,7 @@
     /// The complete response of a plain service.
     Response(super::plain::PlainResponse),
     /// The engine reports a different number of tokens than arrived.
-    Corrupt,
+    TokenCountMismatch,
     /// The attempt ended.
     Ended(AttemptEnd),
 }
@@ -139,7 +139,7 @@
                         }
                         tokens += 1;
                         if token.total.is_some_and(|total| total != tokens) {
-                            let _ = self.events.send(AttemptEvent::Corrupt).await;
+                            let _ = self.events.send(AttemptEvent::TokenCountMismatch).await;
                             return None;
                         }
                         finished = token.finish.is_some();
--- a/crates/ringbendd/src/callers/request_task.rs
+++ b/crates/ringbendd/src/callers/request_task.rs
@@ -298,7 +298,7 @@
         hop.set_attribute("endpoint", &dispatch.endpoint);
         hop.set_attribute("number", dispatch.number);
         log::debug!(
-            request:% = self.id, attempt:% = attempt, endpoint:% = dispatch.endpoint; "dispatch"
+            request:% = self.id, attempt:% = attempt, endpoint:% = dispatch.endpoint; "dispatching an attempt"
         );
         let trace = hop.context().clone();
         let (events, rx) = mpsc::channel(EVENT_QUEUE_CAPACITY);
@@ -334,7 +334,7 @@
                 self.response = Some(response);
                 false
             }
-            AttemptEvent::Corrupt => {
+            AttemptEvent::TokenCountMismatch => {
                 self.withdraw();
                 self.count_outcome(Outcome::Failed);
                 self.settle_claim(RunState::Failed);
