--- a/crates/ringbend-policy/src/shares.rs
+++ b/crates/ringbend-policy/src/shares.rs
@@ -309,8 +309,8 @@
             owned.grants.iter().filter(|(i, _)| *i != to).map(|(_, g)| g.demand).sum();
         let fair = total * demand / (demand + demand_of_others).max(1e-9);
         let since = owned.owned_since.max(self.peers_changed_at);
-        let recently_moved = self.peers.len() > 1 && now.since(since) < lease;
-        let max_share = if recently_moved { equal } else { total };
+        let within_first_lease = self.peers.len() > 1 && now.since(since) < lease;
+        let max_share = if within_first_lease { equal } else { total };
         let share = fair.min(max_share).min((total - granted_to_others).max(0.0));
         let expires_at = now + lease;
         owned.grants.insert(to.clone(), Grant { share, demand, expires_at });
--- a/crates/ringbendd/src/callers/request_task/response.rs
+++ b/crates/ringbendd/src/callers/request_task/response.rs
@@ -115,7 +115,7 @@
         if !std::mem::take(&mut self.claim_granted) {
             return;
         }
-        let settlement = match stored::keep(&self.app, self.id, status, content_type, body).await {
+        let settlement = match stored::store(&self.app, self.id, status, content_type, body).await {
             Some(answer) => Settlement::Done(answer),
             None => Settlement::MayHaveRun,
         };
--- a/crates/ringbendd/src/callers/stored.rs
+++ b/crates/ringbendd/src/callers/stored.rs
@@ -14,7 +14,7 @@
 
 /// Stores a response: short text inline in the claim row, anything else in the object store.
 /// Returns `None` if the object store fails.
-pub(crate) async fn keep(
+pub(crate) async fn store(
     app: &App,
     id: RequestId,
     status: u16,
