--- a/crates/ringbend-policy/src/naive.rs
+++ b/crates/ringbend-policy/src/naive.rs
@@ -36,7 +36,7 @@
 
 /// The baseline router.
 pub struct NaivePolicy {
-    mint: IdGenerator,
+    ids: IdGenerator,
     rng: ChaCha8Rng,
     choice: Box<dyn EndpointChoice>,
     endpoints: Vec<EndpointEntry>,
@@ -50,7 +50,7 @@
     pub fn new(incarnation: Incarnation, choice: ChoiceKind, seed: Seed) -> Self {
         let routing = RoutingConfig { choice, ..RoutingConfig::default() };
         Self {
-            mint: IdGenerator::new(incarnation),
+            ids: IdGenerator::new(incarnation),
             rng: seed.rng(RANDOM_STREAM),
             choice: choice_for(&routing),
             endpoints: Vec::new(),
@@ -87,7 +87,7 @@
             return;
         };
         let endpoint = candidates[chosen].endpoint.clone();
-        let attempt = self.mint.next_attempt_id();
+        let attempt = self.ids.next_attempt_id();
         out.push(Action::Dispatch(Dispatch {
             request: id,
             attempt,
--- a/crates/ringbendd/src/callers/request_task.rs
+++ b/crates/ringbendd/src/callers/request_task.rs
@@ -50,7 +50,7 @@
     attempt: AttemptId,
     task: JoinHandle<()>,
     events: mpsc::Receiver<AttemptEvent>,
-    _hop: TraceSpan,
+    _span: TraceSpan,
 }
 
 impl Drop for RunningAttempt {
@@ -80,7 +80,7 @@
     recorded: Option<BytesMut>,
     admitted: bool,
     dispatched: bool,
-    hop: TraceSpan,
+    span: TraceSpan,
     wait_span: Option<TraceSpan>,
     _permit: BodyPermit,
 }
@@ -119,9 +119,9 @@
         signals: mpsc::UnboundedReceiver<RequestSignal>,
     ) -> Self {
         let Call { req, headers, body, permit } = call;
-        let mut hop = app.tracing.start_span("caller", TraceSpanKind::Server, &headers.trace);
-        hop.set_attribute("request", profile.id);
-        hop.set_attribute("account", &profile.account);
+        let mut span = app.tracing.start_span("caller", TraceSpanKind::Server, &headers.trace);
+        span.set_attribute("request", profile.id);
+        span.set_attribute("account", &profile.account);
         let claim = headers.key.clone().map(|key| {
             let digest = request_digest(req.method().as_str(), req.path(), &body, &headers);
             (ClaimKey { account: headers.account.clone(), key }, digest)
@@ -145,7 +145,7 @@
             claim_granted: false,
             admitted: false,
             dispatched: false,
-            hop,
+            span,
             wait_span: None,
             _permit: permit,
         }
@@ -196,11 +196,11 @@
                 self.fail(Failure::Policy { code, run_state, retry_after }, sink).await
             }
             RequestSignal::ClaimGranted => self.on_claim_granted(sink).await,
-            RequestSignal::ClaimHeld(by) => {
+            RequestSignal::AlreadyClaimed(by) => {
                 self.withdraw();
-                self.on_claim_held(by, sink).await
+                self.on_already_claimed(by, sink).await
             }
-            RequestSignal::ClaimFailed => {
+            RequestSignal::ClaimAbandoned => {
                 self.withdraw();
                 self.count_outcome(Outcome::Failed);
                 self.fail(Failure::NoClaim, sink).await
@@ -228,7 +228,7 @@
     }
 
     fn start_claim(&mut self) {
-        let context = self.hop.context();
+        let context = self.span.context();
         let Some((key, digest)) = self.claim.clone() else {
             self.wait_span =
                 Some(self.app.tracing.start_span("queue", TraceSpanKind::Internal, context));
@@ -255,14 +255,14 @@
             self.count_outcome(Outcome::Failed);
             return self.fail(Failure::NoClaim, sink).await;
         }
-        let context = self.hop.context();
+        let context = self.span.context();
         self.wait_span =
             Some(self.app.tracing.start_span("queue", TraceSpanKind::Internal, context));
         self.app.policy.handle(&self.app, Event::Claimed(self.id));
         false
     }
 
-    async fn on_claim_held(&mut self, by: ExistingClaim, sink: &mut ResponseSink) -> bool {
+    async fn on_already_claimed(&mut self, by: ExistingClaim, sink: &mut ResponseSink) -> bool {
         let failure = match by {
             ExistingClaim::Answered(answer) => match stored::response(&self.app, &answer).await {
                 Some(res) => {
@@ -293,14 +293,15 @@
             return app.policy.handle(app, Event::Ended { attempt, end });
         };
         self.dispatched = true;
-        let mut hop = app.tracing.start_span("attempt", TraceSpanKind::Client, self.hop.context());
-        hop.set_attribute("attempt", attempt);
-        hop.set_attribute("endpoint", &dispatch.endpoint);
-        hop.set_attribute("number", dispatch.number);
+        let mut span =
+            app.tracing.start_span("attempt", TraceSpanKind::Client, self.span.context());
+        span.set_attribute("attempt", attempt);
+        span.set_attribute("endpoint", &dispatch.endpoint);
+        span.set_attribute("number", dispatch.number);
         log::debug!(
             request:% = self.id, attempt:% = attempt, endpoint:% = dispatch.endpoint; "dispatching an attempt"
         );
-        let trace = hop.context().clone();
+        let trace = span.context().clone();
         let (events, rx) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let task = match &self.kind {
             RequestKind::Prompt { body, .. } => {
@@ -323,7 +324,7 @@
                 tokio::task::spawn_local(attempt.run())
             }
         };
-        self.running = Some(RunningAttempt { attempt, task, events: rx, _hop: hop });
+        self.running = Some(RunningAttempt { attempt, task, events: rx, _span: span });
     }
 
     async fn on_event(&mut self, event: AttemptEvent, sink: &mut ResponseSink) -> bool {
--- a/crates/ringbendd/src/claims.rs
+++ b/crates/ringbendd/src/claims.rs
@@ -66,10 +66,10 @@
                 }
             }
             ClaimAction::AlreadyClaimed(holder, by) => {
-                app.policy.signal(holder, RequestSignal::ClaimHeld(by));
+                app.policy.signal(holder, RequestSignal::AlreadyClaimed(by));
             }
             ClaimAction::Abandoned(holder) => {
-                app.policy.signal(holder, RequestSignal::ClaimFailed);
+                app.policy.signal(holder, RequestSignal::ClaimAbandoned);
             }
         }
     }
--- a/crates/ringbendd/src/peers/mod.rs
+++ b/crates/ringbendd/src/peers/mod.rs
@@ -192,11 +192,11 @@
         let envelope = Envelope { body: Some(envelope::Body::GrantRequest(request.into())) };
         app.metrics.peer_bytes(ringbend_wire::Message::encoded_len(&envelope) as u64);
         let app = app.clone();
-        let mut hop =
+        let mut span =
             app.tracing.start_span("peer", TraceSpanKind::Client, &TraceContext::default());
-        hop.set_attribute("peer", owner);
+        span.set_attribute("peer", owner);
         tokio::task::spawn_local(async move {
-            let _hop = hop;
+            let _span = span;
             let Ok(Envelope { body: Some(envelope::Body::GrantReply(reply)) }) =
                 transport.request(to, envelope).await
             else {
@@ -216,9 +216,9 @@
         after: SettingsVersion,
     ) -> Option<EntriesReply> {
         let transport = self.transport.borrow().clone()?;
-        let mut hop =
+        let mut span =
             app.tracing.start_span("peer", TraceSpanKind::Client, &TraceContext::default());
-        hop.set_attribute("peer", peer);
+        span.set_attribute("peer", peer);
         let request = EntriesRequest { after: after.0 };
         let envelope = Envelope { body: Some(envelope::Body::EntriesRequest(request)) };
         match transport.request(peer, envelope).await {
