--- a/crates/ringbend-policy/src/endpoint_view.rs
+++ b/crates/ringbend-policy/src/endpoint_view.rs
@@ -33,7 +33,7 @@
 /// Maximum backoff.
 const BACKOFF_CAP: Duration = Duration::from_secs(8);
 
-/// An engine counts as silent after this long without a report or token, or after three times its
+/// An engine counts as silent after this long without a load report, or after three times its
 /// average interval between reports, whichever is longer.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Records that a report or a token arrived.
+    /// Records that a load report arrived.
     fn record_activity(&mut self, now: Timestamp) {
         self.last_activity = Some(now);
     }
--- a/crates/ringbend-policy/src/naive.rs
+++ b/crates/ringbend-policy/src/naive.rs
@@ -1,5 +1,5 @@
-//! The baseline that Ringbend is measured against: a plain router that sends every request at once
-//! to an endpoint, by default round robin, and retries immediately on any failure. It has no
+//! The baseline that Ringbend is measured against: a plain router that sends every request to an
+//! endpoint immediately, by default round robin, and retries immediately on any failure. It has no
 //! limits, claims, priorities or memory accounting.
 
 use std::collections::BTreeMap;
--- a/crates/ringbendd/src/callers/mod.rs
+++ b/crates/ringbendd/src/callers/mod.rs
@@ -31,7 +31,8 @@
 use failure::Failure;
 use headers::CallHeaders;
 
-/// Maximum size of a request body in bytes; a prompt of a million tokens has about four million.
+/// Maximum size of a request body, in bytes. A prompt of a million tokens has about four million
+/// bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Maximum size of all request bodies in memory at once, in bytes.
@@ -78,7 +79,7 @@
     }
 
     async fn respond(&self, req: HttpRequest) -> HttpResponse {
-        let mut res = self.route_request(req).await;
+        let mut res = self.handle_request(req).await;
         if self.app.phase.get() >= Phase::Unready {
             // Close the connection after this response, so that a drain can tell when it was
             // delivered.
@@ -87,7 +88,7 @@
         res
     }
 
-    async fn route_request(&self, req: HttpRequest) -> HttpResponse {
+    async fn handle_request(&self, req: HttpRequest) -> HttpResponse {
         match (req.method().clone(), req.path()) {
             (Method::GET, "/healthz") => text(StatusCode::OK, "text/plain", "ok\n"),
             (Method::GET, "/readyz") => self.readiness(),
--- a/crates/ringbendd/src/instance.rs
+++ b/crates/ringbendd/src/instance.rs
@@ -136,7 +136,8 @@
     }
 
     /// Waits until the last bytes of the responses have been sent, which closes their connections.
-    /// Idle connections that callers keep open are waited for only this long.
+    /// Idle connections that callers keep open are waited for at most
+    /// [`CONNECTION_CLOSE_TIMEOUT`].
     async fn wait_for_connections(&self) {
         let until = self.app.now() + CONNECTION_CLOSE_TIMEOUT;
         while self.callers.connections() > 0 && self.app.now() < until {
@@ -259,7 +260,7 @@
     actix_rt::time::sleep(Duration::from_secs_f64(jittered / 1_000.0)).await;
 }
 
-/// Polls engines from which no load report has arrived within the poll interval.
+/// Polls the engines that have not sent a load report with a response within the poll interval.
 async fn poll_load_reports(app: &Rc<App>) {
     let period = Duration::from_millis(app.cfg.platform.poll_ms);
     let overdue = app.policy.engines_without_report(app.now() - period);
--- a/crates/ringbendd/src/main.rs
+++ b/crates/ringbendd/src/main.rs
@@ -21,13 +21,13 @@
 }
 
 /// Exit code of a shutdown that cut off requests.
-const CUT: u8 = 3;
+const EXIT_CUT_OFF: u8 = 3;
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
     match actix_rt::System::new().block_on(run(args)) {
         Ok(StopReport { cut_off: 0 }) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT),
+        Ok(_) => ExitCode::from(EXIT_CUT_OFF),
         Err(report) => {
             eprintln!("ringbendd: {report:?}");
             ExitCode::FAILURE
