--- a/crates/ringbendd/src/main.rs
+++ b/crates/ringbendd/src/main.rs
@@ -1,4 +1,4 @@
-//! `ringbendd`: one Ringbend instance.
+//! The `ringbendd` binary: runs one Ringbend instance.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -20,14 +20,14 @@
     check: bool,
 }
 
-/// Exit code after a stop that cut requests off.
-const CUT: u8 = 3;
+/// Exit code of a shutdown that cut off requests.
+const EXIT_CUT_OFF: u8 = 3;
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
     match actix_rt::System::new().block_on(run(args)) {
         Ok(StopReport { cut_off: 0 }) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT),
+        Ok(_) => ExitCode::from(EXIT_CUT_OFF),
         Err(report) => {
             eprintln!("ringbendd: {report:?}");
             ExitCode::FAILURE
@@ -67,7 +67,7 @@
                 println!("stopped, {} requests cut off", report.cut_off);
                 return Ok(report);
             }
-            // A second signal ends what runs now; the drain then counts what was cut.
+            // A second signal cuts off the open requests; the drain then counts them.
             _ = term.recv() => instance.cut_off_requests(),
             _ = interrupt.recv() => instance.cut_off_requests(),
         }
