--- /dev/null
+++ b/crates/ringbend-relay/src/active_request.rs
@@ -0,0 +1,372 @@
+//! The life cycle of one admitted request: its sends to endpoints until a response begins or the
+//! request is rejected.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use actix_http::body::MessageBody;
+use actix_http::{RequestHead, Response, ResponseHead, StatusCode};
+use bytes::Bytes;
+use rand::Rng;
+use ringbend_gateway::{
+    Account, Attempts, ConfigVersion, HealthEvent, NextStep, Route, SendOutcome, Service,
+};
+use ringbend_runtime::HttpResponse;
+use ringbend_types::{EndpointId, Fingerprint, PromptBucket, RunState, Timestamp, TokenCount};
+
+use crate::engine_pace::LongPauseCounter;
+use crate::exchange::IncomingResponse;
+use crate::headers::copy_headers;
+use crate::log_fields::Millis;
+use crate::node::{Node, OpenRequest};
+use crate::ports::RequestMetadata;
+use crate::refusal::Refusal;
+use crate::runs::{ResponseBody, ResponseStart, Run};
+use crate::streams::ResponseStream;
+
+/// The request as received from the caller.
+pub(crate) struct OriginalRequest {
+    pub(crate) head: RequestHead,
+    pub(crate) body: Bytes,
+    /// Equal for repeats of the same request under another request id.
+    pub(crate) fingerprint: Fingerprint,
+}
+
+/// The part of the configuration that applies to the request.
+pub(crate) struct RequestConfig {
+    pub(crate) route: Arc<Route>,
+    pub(crate) account: Option<Account>,
+    pub(crate) service: Service,
+    pub(crate) version: ConfigVersion,
+}
+
+/// One admitted request. If it is dropped before its end was logged, the caller has disconnected.
+pub(crate) struct ActiveRequest {
+    pub(crate) node: Rc<Node>,
+    pub(crate) metadata: RequestMetadata,
+    pub(crate) original: OriginalRequest,
+    pub(crate) config: RequestConfig,
+    pub(crate) attempts: Attempts,
+    pub(crate) arrived_at: Timestamp,
+    /// An error response of an endpoint, returned to the caller if no other endpoint succeeds.
+    endpoint_failure: Option<HttpResponse>,
+    /// Time after which endpoints are expected to accept requests again.
+    pub(crate) retry_after: Option<Duration>,
+    is_end_logged: bool,
+    /// Since when the current run streams its response.
+    pub(crate) streaming_since: Option<Timestamp>,
+    /// The request's strikes when its last run started.
+    pub(crate) strikes_before: usize,
+    /// Whether this is the trial run of a held request.
+    pub(crate) is_trial: bool,
+    delivery: DeliveryTimes,
+    /// Long pauses of the stream, which indicate a slow engine.
+    pub(crate) pauses: LongPauseCounter,
+    _open: OpenRequest,
+}
+
+/// When events were forwarded to the caller.
+#[derive(Debug, Clone, Copy, Default)]
+struct DeliveryTimes {
+    first: Option<Timestamp>,
+    last: Option<Timestamp>,
+    longest_gap: Duration,
+}
+
+/// The outcome of a successful send.
+enum SendSuccess {
+    /// A complete response.
+    Complete(HttpResponse, StatusCode),
+    /// A stream whose first event has arrived.
+    Stream(Box<ResponseStream>),
+}
+
+/// Range of the `Retry-After` of a long prompt that could not be placed in time, as a share of its
+/// target time to the first event.
+const RETRY_AIM_SHARE: std::ops::Range<f64> = 0.5..1.0;
+
+/// Callers are spread over this time when a back-off of endpoints ends.
+const BACKOFF_END_JITTER: Duration = Duration::from_millis(500);
+
+/// Maximum size of a buffered response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+
+impl ActiveRequest {
+    pub(crate) fn new(
+        node: Rc<Node>,
+        metadata: RequestMetadata,
+        original: OriginalRequest,
+        config: RequestConfig,
+        attempts: Attempts,
+        arrived_at: Timestamp,
+        open: OpenRequest,
+    ) -> Self {
+        node.metrics.admitted();
+        let (endpoint_failure, retry_after, is_end_logged) = (None, None, false);
+        Self {
+            node,
+            metadata,
+            original,
+            config,
+            attempts,
+            arrived_at,
+            endpoint_failure,
+            retry_after,
+            is_end_logged,
+            streaming_since: None,
+            strikes_before: 0,
+            is_trial: false,
+            delivery: DeliveryTimes::default(),
+            pauses: LongPauseCounter::default(),
+            _open: open,
+        }
+    }
+
+    /// Sends the request until an endpoint responds or the request is rejected.
+    pub(crate) async fn run(mut self) -> HttpResponse {
+        loop {
+            let node = self.node.clone();
+            let sent = tokio::select! {
+                biased;
+                sent = self.send() => sent,
+                () = node.wait_until_last_response() => Err(SendFailure::Aborted),
+            };
+            let failure = match sent {
+                Ok(SendSuccess::Complete(res, status)) => return self.finish(res, status.as_str()),
+                Ok(SendSuccess::Stream(stream)) => {
+                    return crate::streams::stream_response(self, *stream);
+                }
+                Err(failure) => failure,
+            };
+            if let Some(refusal) = self.handle_failure(failure).await {
+                return self.reject(refusal);
+            }
+        }
+    }
+
+    /// Decides what follows a failed send. `None` if the request is sent again.
+    async fn handle_failure(&mut self, failure: SendFailure) -> Option<Refusal> {
+        match failure {
+            SendFailure::Replaced => None,
+            SendFailure::NoMemory if self.wait_for_memory().await => None,
+            SendFailure::TurnExpired => {
+                self.retry_after = Some(self.late_retry_after());
+                Some(self.refusal_unless_run(Refusal::LateNotRun))
+            }
+            SendFailure::Held => {
+                self.retry_after = self.time_until_trial();
+                Some(self.refusal_unless_run(Refusal::Held))
+            }
+            SendFailure::Limited(after) => {
+                self.retry_after = Some(after);
+                Some(self.refusal_unless_run(Refusal::Limited))
+            }
+            SendFailure::BackingOff(after) => {
+                self.retry_after = Some(self.with_jitter(after));
+                Some(self.refusal_unless_run(Refusal::BackingOff))
+            }
+            SendFailure::Stopping => Some(self.refusal_unless_run(Refusal::Stopping)),
+            SendFailure::Aborted => {
+                self.attempts.record_aborted();
+                Some(Refusal::of_state(self.attempts.run_state()))
+            }
+            SendFailure::NoArbiter => Some(self.refusal_unless_run(Refusal::Suspected)),
+            SendFailure::NoMemory | SendFailure::NoEndpoint => {
+                Some(self.refusal_unless_run(Refusal::NoEndpoint))
+            }
+            SendFailure::Send(end) => match self.after_send(end) {
+                NextStep::Retry => None,
+                NextStep::ForwardFailure => Some(Refusal::MayHaveRun),
+                NextStep::GiveUp(state) => {
+                    let after = self.node.all_backing_off(&self.config.service.name);
+                    self.retry_after =
+                        after.map(|after| self.with_jitter(after)).or(self.retry_after);
+                    Some(self.deadline_refusal().unwrap_or(Refusal::of_state(state)))
+                }
+            },
+        }
+    }
+
+    /// Returns `refusal` if the request was not run, otherwise the refusal that states its run
+    /// state.
+    fn refusal_unless_run(&self, refusal: Refusal) -> Refusal {
+        match self.attempts.run_state() {
+            RunState::NotRun => refusal,
+            state => Refusal::of_state(state),
+        }
+    }
+
+    /// Time until the next trial run of a held request.
+    fn time_until_trial(&self) -> Option<Duration> {
+        let (now, fingerprint) = (self.node.clock.now(), self.original.fingerprint);
+        self.node.quarantine.borrow().until_try(now, fingerprint)
+    }
+
+    /// Time after which a long prompt that could not be placed in time is worth retrying. The
+    /// requests that occupy the engines now have similar targets. The value is random, so that
+    /// callers refused together do not return together.
+    fn late_retry_after(&self) -> Duration {
+        let share = self.node.rng.borrow_mut().random_range(RETRY_AIM_SHARE);
+        self.config.route.aim.mul_f64(share)
+    }
+
+    /// Time after which to return to endpoints that accept requests after `wait`, with a random
+    /// part so that callers do not return together.
+    fn with_jitter(&self, wait: Duration) -> Duration {
+        wait + BACKOFF_END_JITTER.mul_f64(self.node.rng.borrow_mut().random())
+    }
+
+    /// Ends the request with the error response of an endpoint if there is one, otherwise with
+    /// `refusal`.
+    fn reject(&mut self, refusal: Refusal) -> HttpResponse {
+        match self.endpoint_failure.take() {
+            Some(res) => self.finish(res, "endpoint-failure"),
+            None => self.refuse(refusal),
+        }
+    }
+
+    /// Decides what follows a send that ended without a usable response.
+    pub(crate) fn after_send(&mut self, end: SendOutcome) -> NextStep {
+        let now = self.node.clock.now();
+        let budget = &mut self.node.budget.borrow_mut();
+        self.attempts.record_outcome(now, end, &self.config.service.name, budget)
+    }
+
+    fn deadline_refusal(&self) -> Option<Refusal> {
+        if self.node.clock.now() < self.attempts.deadline() {
+            return None;
+        }
+        match self.attempts.run_state() {
+            RunState::NotRun => Some(Refusal::LateNotRun),
+            _ => Some(Refusal::Late),
+        }
+    }
+
+    fn finish(&mut self, res: HttpResponse, outcome: &str) -> HttpResponse {
+        self.log_end(outcome);
+        res
+    }
+
+    fn refuse(&mut self, refusal: Refusal) -> HttpResponse {
+        self.node.metrics.failure(refusal.code());
+        self.log_end(refusal.code());
+        let mut res = refusal.into_response(self.retry_after);
+        self.node.dialect.mark_local_response(&self.metadata, res.headers_mut());
+        res
+    }
+
+    /// Records that an event from an endpoint was forwarded to the caller.
+    pub(crate) fn note_forwarded(&mut self, endpoint: &EndpointId) {
+        let now = self.node.clock.now();
+        match self.delivery.last {
+            Some(last) => {
+                self.delivery.longest_gap = self.delivery.longest_gap.max(now.since(last));
+                self.note_pause(endpoint, now.since(last));
+            }
+            None => {
+                self.delivery.first = Some(now);
+                let tokens = TokenCount(self.metadata.demand.map_or(0, |d| d.prompt_tokens));
+                let bucket = PromptBucket::of(tokens);
+                self.node.metrics.first_token(bucket, now.since(self.arrived_at));
+            }
+        }
+        self.delivery.last = Some(now);
+    }
+
+    /// Logs the end of the request.
+    pub(crate) fn log_end(&mut self, outcome: &str) {
+        self.is_end_logged = true;
+        let ms = self.node.clock.now().since(self.arrived_at).as_millis() as u64;
+        let sends = self.attempts.tried().len();
+        let (id, route) = (self.request_id(), &self.config.route.name);
+        let first_ms = Millis(self.delivery.first.map(|at| at.since(self.arrived_at)));
+        let gap_ms = self.delivery.longest_gap.as_millis() as u64;
+        let aim_ms = self.config.route.aim.as_millis() as u64;
+        let gap_aim_ms = self.gap_target().as_millis() as u64;
+        log::info!(
+            target: "request", id, fingerprint:% = self.original.fingerprint, route:%,
+            config:% = self.config.version, outcome, ms, sends,
+            first_ms:%, gap_ms, aim_ms, gap_aim_ms;
+            "ended"
+        );
+    }
+
+    pub(crate) fn request_id(&self) -> &str {
+        self.metadata.request_id.as_deref().unwrap_or("-")
+    }
+
+    async fn send(&mut self) -> Result<SendSuccess, SendFailure> {
+        let sent = self.schedule(false).await?;
+        let run = self.start(sent, None).await?;
+        let (run, started) = self.await_first_response(run).await?;
+        let ResponseStart { head, response, body } = started;
+        self.check_response(&run.endpoint, &response, head.status)?;
+        match body {
+            ResponseBody::EventStream(events, first) => {
+                self.record_health(&run.endpoint.id, HealthEvent::Good);
+                Ok(SendSuccess::Stream(Box::new(run.into_stream(head, events, first))))
+            }
+            ResponseBody::Body(incoming) => self.read_response(&run, head, incoming).await,
+        }
+    }
+
+    /// Reads the remaining body of a response that is not streamed.
+    async fn read_response(
+        &mut self,
+        run: &Run,
+        head: ResponseHead,
+        mut incoming: IncomingResponse,
+    ) -> Result<SendSuccess, SendFailure> {
+        let (dependencies, deadline) =
+            (std::slice::from_ref(&run.endpoint), self.attempts.deadline());
+        let result =
+            self.run_until(dependencies, deadline, incoming.read_to_end(MAX_RESPONSE_BYTES)).await;
+        let body = result.map_err(|why| self.note_run_error(&run.endpoint, &why))?;
+        let status = head.status;
+        let mut res = Response::with_body(status, body.boxed());
+        copy_headers(&head, res.headers_mut());
+        let may_be_better = status.is_server_error() && self.config.route.repeat.may_repeat();
+        if may_be_better {
+            self.endpoint_failure = Some(res);
+            return Err(SendFailure::Send(SendOutcome::FailedAnswer));
+        }
+        self.record_health(&run.endpoint.id, HealthEvent::Good);
+        self.node.clear_suspect(self.original.fingerprint);
+        Ok(SendSuccess::Complete(res, status))
+    }
+}
+
+impl Drop for ActiveRequest {
+    fn drop(&mut self) {
+        if !self.is_end_logged {
+            self.log_end("caller-gone");
+        }
+    }
+}
+
+/// Why a send produced nothing that can be forwarded.
+pub(crate) enum SendFailure {
+    /// The deadline passed before the request's turn came.
+    TurnExpired,
+    /// No eligible endpoint was left.
+    NoEndpoint,
+    /// Engines had too little free memory for the reservation; nothing was sent.
+    NoMemory,
+    /// The request is held because it crashes endpoints.
+    Held,
+    /// The request may crash endpoints, and no arbiter is available to place it.
+    NoArbiter,
+    /// All remaining endpoints are rate-limited and have no permit before this time.
+    Limited(Duration),
+    /// All endpoints asked this instance to back off for at least this time.
+    BackingOff(Duration),
+    /// Another send replaces this one.
+    Replaced,
+    /// The instance is stopping, and the response could not end before that.
+    Stopping,
+    /// The instance has stopped and the send was aborted.
+    Aborted,
+    /// The send ended this way.
+    Send(SendOutcome),
+}
--- a/crates/ringbend-relay/src/doors.rs
+++ b/crates/ringbend-relay/src/admin.rs
@@ -1,4 +1,4 @@
-//! The small addresses beside the callers' one: readiness and metrics.
+//! The auxiliary servers: readiness, metrics and the operators' API for suspected requests.
 
 use std::rc::Rc;
 
@@ -11,12 +11,12 @@
 
 use crate::node::Node;
 
-/// Tells the balancer whether this instance takes requests: 200 or 503, whatever the path.
-pub(crate) struct Ready {
+/// The load balancer's readiness check: 200 or 503, whatever the path.
+pub(crate) struct ReadinessCheck {
     pub(crate) node: Rc<Node>,
 }
 
-impl Handler for Ready {
+impl Handler for ReadinessCheck {
     fn handle(self: Rc<Self>, _: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
         let ready = self.node.is_ready();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -24,28 +24,28 @@
     }
 }
 
-/// Where suspected and held requests are listed; one of them is cleared beneath it.
+/// Lists suspected and held requests; each of them is cleared through a path below.
 const SUSPECTS_PATH: &str = "/v1/suspects";
 
-/// What the path of a call ends with that clears a request.
-const CLEAR: &str = "/clear";
+/// The suffix of the path that clears a request.
+const CLEAR_SUFFIX: &str = "/clear";
 
-/// One suspected or held request, as operators are told.
+/// A suspected or held request in API responses.
 #[derive(Serialize)]
-struct SuspectLine {
+struct SuspectEntry {
     fingerprint: String,
     held: bool,
     ended: Vec<String>,
     tries: u8,
 }
 
-/// Serves metrics as text to whoever watches the instance, and to operators what is suspected or held.
-pub(crate) struct MetricsPage {
+/// Serves metrics, and the API for suspected and held requests.
+pub(crate) struct AdminServer {
     pub(crate) node: Rc<Node>,
 }
 
-impl MetricsPage {
-    fn answer(&self, req: &HttpRequest) -> HttpResponse {
+impl AdminServer {
+    fn respond(&self, req: &HttpRequest) -> HttpResponse {
         let path = req.path();
         match (req.method(), path.strip_prefix(SUSPECTS_PATH)) {
             (&Method::GET, Some("")) => json(StatusCode::OK, &self.suspects()),
@@ -57,9 +57,9 @@
         }
     }
 
-    fn suspects(&self) -> Vec<SuspectLine> {
+    fn suspects(&self) -> Vec<SuspectEntry> {
         let quarantine = self.node.quarantine.borrow();
-        let line = |suspicion: &Suspicion| SuspectLine {
+        let line = |suspicion: &Suspicion| SuspectEntry {
             fingerprint: suspicion.fingerprint.to_string(),
             held: suspicion.ended.len() >= STRIKES_TO_HOLD,
             ended: suspicion.ended.iter().map(|process| process.endpoint.to_string()).collect(),
@@ -68,23 +68,23 @@
         quarantine.suspicions().map(line).collect()
     }
 
-    /// Clears one request at all instances, as a run that ends well does.
+    /// Clears a request on all instances, like a run that ends well.
     fn clear(&self, rest: &str) -> HttpResponse {
-        let named = rest.strip_prefix('/').and_then(|rest| rest.strip_suffix(CLEAR));
-        let Some(of) = named.and_then(|name| name.parse::<Fingerprint>().ok()) else {
+        let named = rest.strip_prefix('/').and_then(|rest| rest.strip_suffix(CLEAR_SUFFIX));
+        let Some(fingerprint) = named.and_then(|name| name.parse::<Fingerprint>().ok()) else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        if self.node.quarantine.borrow().strikes(of) == 0 {
+        if self.node.quarantine.borrow().strikes(fingerprint) == 0 {
             return empty(StatusCode::NOT_FOUND);
         }
-        log::info!(target: "suspects", fingerprint:% = of; "cleared by an operator");
-        self.node.clear_suspect(of);
+        log::info!(target: "suspects", fingerprint:% = fingerprint; "cleared by an operator");
+        self.node.clear_suspect(fingerprint);
         json(StatusCode::OK, &self.suspects())
     }
 }
 
-impl Handler for MetricsPage {
+impl Handler for AdminServer {
     fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
-        Box::pin(std::future::ready(self.answer(&req)))
+        Box::pin(std::future::ready(self.respond(&req)))
     }
 }
--- a/crates/ringbend-relay/src/admission.rs
+++ b/crates/ringbend-relay/src/admission.rs
@@ -1,7 +1,8 @@
-//! The check before every send to an endpoint.
+//! The admission check before every send to an endpoint.
 //!
-//! A request may have been placed by another instance, or have waited since. Whether its endpoints still take it is
-//! decided from what this instance knows at the moment of sending.
+//! A request may have been placed by another instance, or may have waited since its placement.
+//! Whether its endpoints still accept it is decided from this instance's state at the time of the
+//! send.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,7 +10,7 @@
 use ringbend_gateway::{BackoffState, Directory, Endpoint, Job, Placement, SendOutcome};
 use ringbend_types::{EndpointId, ServiceName, Timestamp};
 
-use crate::life::{Failed, Life};
+use crate::active_request::{ActiveRequest, SendFailure};
 use crate::node::Node;
 
 /// Maximum number of closed endpoints listed in a placement request, to bound its datagram. A placement on one that was
@@ -19,11 +20,11 @@
 /// Why nothing may be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Inadmissible {
-    /// Its process has ended.
+    /// The endpoint's process has ended.
     Ended,
-    /// It is draining, by its row or by its own announcement.
+    /// The endpoint is draining, according to its row or its own announcement.
     Draining,
-    /// It has asked this instance to back off.
+    /// The endpoint asked this instance to back off.
     BackingOff,
 }
 
@@ -38,13 +39,13 @@
 }
 
 impl Node {
-    /// Whether something may be sent to an endpoint now.
+    /// Checks whether requests may be sent to an endpoint now.
     ///
     /// # Errors
     ///
-    /// Nothing may be sent.
+    /// The reason why none may be sent.
     pub(crate) fn admission(&self, endpoint: &Endpoint) -> Result<(), Inadmissible> {
-        if let Some(why) = gone(&self.directory.borrow(), endpoint) {
+        if let Some(why) = closed_reason(&self.directory.borrow(), endpoint) {
             return Err(why);
         }
         match self.backoffs.borrow().state(self.clock.now(), endpoint) {
@@ -76,8 +77,8 @@
         closed
     }
 
-    /// How long until the first endpoint of a service takes requests, if all back off; none if one takes them now, or
-    /// there is none.
+    /// Time until the first endpoint of a service accepts requests, if all of them back off; `None`
+    /// if one accepts requests now, or there is none.
     pub(crate) fn all_backing_off(&self, service: &ServiceName) -> Option<Duration> {
         let (now, backoffs) = (self.clock.now(), self.backoffs.borrow());
         if backoffs.is_empty() {
@@ -104,15 +105,15 @@
             if job.backing_off.contains(id) {
                 return Some(Inadmissible::BackingOff);
             }
-            directory.get(id).and_then(|endpoint| gone(&directory, endpoint))
+            directory.get(id).and_then(|endpoint| closed_reason(&directory, endpoint))
         };
         let mut ids = std::iter::once(&placement.lead).chain(&placement.helpers);
         ids.find_map(|id| Some((id.clone(), why(id)?)))
     }
 }
 
-/// Why an endpoint takes nothing from any instance.
-fn gone(directory: &Directory, endpoint: &Endpoint) -> Option<Inadmissible> {
+/// Why an endpoint accepts no requests from any instance.
+fn closed_reason(directory: &Directory, endpoint: &Endpoint) -> Option<Inadmissible> {
     if directory.has_ended(endpoint) {
         return Some(Inadmissible::Ended);
     }
@@ -120,21 +121,22 @@
     directory.is_leaving(known).then_some(Inadmissible::Draining)
 }
 
-impl Life {
-    /// Checks that a request may be sent to its lead and read by its helpers now.
+impl ActiveRequest {
+    /// Checks that a request may be sent to its lead engine and helpers now.
     ///
     /// # Errors
     ///
-    /// It may not. Nothing was sent, so it is placed again.
-    pub(crate) fn admit(&mut self, on: &[Endpoint]) -> Result<(), Failed> {
-        let rejected = on.iter().find_map(|e| Some((e.id.clone(), self.node.admission(e).err()?)));
+    /// It may not. Nothing was sent, so the request is placed again.
+    pub(crate) fn admit(&mut self, dependencies: &[Endpoint]) -> Result<(), SendFailure> {
+        let rejected =
+            dependencies.iter().find_map(|e| Some((e.id.clone(), self.node.admission(e).err()?)));
         let Some((endpoint, why)) = rejected else { return Ok(()) };
-        if on.first().is_some_and(|lead| lead.id == endpoint) {
+        if dependencies.first().is_some_and(|lead| lead.id == endpoint) {
             // The scheduler may not have received the signal yet; a tried endpoint is not chosen again.
             self.attempts.record_send(&endpoint);
         }
         self.node.metrics.inadmissible();
-        log::info!(target: "request", id = self.id(), endpoint:%, why:%; "endpoint takes no requests; placing again");
-        Err(Failed::Send(SendOutcome::NotSent))
+        log::info!(target: "request", id = self.request_id(), endpoint:%, why:%; "endpoint takes no requests; placing again");
+        Err(SendFailure::Send(SendOutcome::NotSent))
     }
 }
--- a/crates/ringbend-relay/src/config.rs
+++ b/crates/ringbend-relay/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings file of one relay: addresses, its place, and the bounds it keeps to.
+//! The settings file of a relay: addresses, location and bounds.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -12,18 +12,18 @@
 use ringbend_types::{DataCentre, InstanceId};
 use serde::{Deserialize, Serialize};
 
-/// Why settings cannot be used.
+/// Why the settings cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RelayConfigError {
     /// The file cannot be read.
     Unreadable,
-    /// It is no TOML, or a value has the wrong type.
+    /// The file is not valid TOML, or a value has the wrong type.
     Malformed,
-    /// A value lies outside its range.
+    /// A value is out of range.
     OutOfRange {
-        /// The setting.
+        /// The setting's name.
         setting: &'static str,
-        /// What is allowed.
+        /// The allowed range.
         allowed: &'static str,
     },
 }
@@ -40,91 +40,91 @@
 
 impl std::error::Error for RelayConfigError {}
 
-/// One relay's settings.
+/// The settings of a relay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayConfig {
-    /// This instance's name.
+    /// The name of this instance.
     pub instance: InstanceId,
-    /// Where it runs.
+    /// The data centre of this instance.
     pub data_centre: DataCentre,
-    /// The share of a processor core that it may use. Of the instances of a data centre those with
-    /// most of it schedule for all.
+    /// The processor time available to this instance, in cores. The instances with the highest
+    /// values in a data centre schedule requests for all of it.
     #[serde(default = "whole_core")]
     pub cpu_share: f64,
-    /// Where it listens.
+    /// The addresses that the relay listens on.
     pub listen: ListenConfig,
-    /// Where the store of configuration and endpoints is.
+    /// The store of configuration and endpoints.
     pub store: StoreConfig,
-    /// Bounds that it keeps to.
+    /// Bounds on staleness, shutdown and retries.
     #[serde(default)]
     pub bounds: BoundsConfig,
-    /// What counts how much when a request is placed on engines.
+    /// Weights for the placement of requests on engines.
     #[serde(default)]
     pub placement: PlacementWeights,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogConfig,
-    /// Warnings about settings that this version does not know, each with its path.
+    /// Warnings about unknown settings, each with its path.
     #[serde(skip)]
     pub unknown: Vec<String>,
 }
 
-/// What an instance may use where its settings do not say.
+/// The default of `cpu_share`.
 fn whole_core() -> f64 {
     1.0
 }
 
-/// Thousandths of a core in one.
+/// Thousandths per core.
 const MILLIS_PER_CORE: f64 = 1_000.0;
 
 /// More cores than any machine has.
-const MOST_CORES: f64 = 1_024.0;
+const MAX_CORES: f64 = 1_024.0;
 
-/// Where a relay listens.
+/// The addresses that a relay listens on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListenConfig {
-    /// Callers' requests, TCP.
+    /// Callers' requests, over TCP.
     pub callers: SocketAddrV4,
-    /// The balancer's question whether this instance takes requests, TCP.
+    /// The load balancer's readiness check, over TCP.
     pub ready: SocketAddrV4,
-    /// Metrics, TCP; none are served when left out.
+    /// Metrics, over TCP; not served if omitted.
     pub metrics: Option<SocketAddrV4>,
-    /// Other instances, UDP and TCP; load is not shared when left out.
+    /// Traffic between instances, over UDP and TCP; load is not shared if omitted.
     pub peers: Option<SocketAddrV4>,
-    /// Instances that may be there, to find the others by; they are greeted at the port of `peers`,
-    /// which is the same on all.
+    /// Instances that may be running, through which the others are found. They are greeted on the
+    /// port of `peers`, which is the same on all instances.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
 }
 
-/// The store that is watched.
+/// The store with the watched tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreConfig {
-    /// Its address.
+    /// The store's address.
     pub address: SocketAddrV4,
 }
 
-/// Bounds on time and repeats, as agreed with those who run the fleet.
+/// Bounds on time and retries, as agreed with the operators of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BoundsConfig {
-    /// Milliseconds after which a key that was taken away must be refused; zero for no bound.
+    /// Milliseconds after which a revoked key must be refused; zero for no bound.
     pub key_revoked_ms: f64,
-    /// Milliseconds within which a configuration is in force.
+    /// Milliseconds within which a new configuration must be active.
     pub config_apply_ms: f64,
     /// Seconds from a stop signal to the end of the process.
     pub grace_s: f64,
-    /// Repeats allowed for each request of a service.
+    /// Retries allowed per request of a service.
     pub repeat_ratio: f64,
-    /// Seconds over which repeats are counted.
+    /// Seconds over which retries are counted.
     pub repeat_window_s: f64,
-    /// Repeats allowed besides, over all instances.
+    /// Additional retries allowed, over all instances.
     pub repeat_allowance: f64,
 }
 
 impl Default for BoundsConfig {
     fn default() -> Self {
-        // What holds until an operator says otherwise; the ratio is the field's usual fifth.
+        // The defaults. A retry ratio of one fifth is usual for retry budgets.
         Self {
             key_revoked_ms: 5_000.0,
             config_apply_ms: 2_000.0,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Names that the file knows, for suggestions.
+/// Names of all settings, for suggestions.
 const KNOWN_NAMES: [&str; 32] = [
     "instance",
     "data_centre",
@@ -172,26 +172,26 @@
     "output",
 ];
 
-/// The part of the bound on revoked keys after which a copy of the configuration lets no key in.
-/// What is left covers the call that is on its way when the copy was last proved current.
-const KEY_AGE_SHARE: f64 = 0.7;
+/// Share of `key_revoked_ms` after which a copy of the configuration admits no key. The rest covers
+/// the call that was in progress when the copy was last proved current.
+const KEY_MAX_AGE_SHARE: f64 = 0.7;
 
 impl RelayConfig {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// It cannot be read, is malformed or holds a value out of range.
+    /// The file cannot be read, is malformed or has a value out of range.
     pub fn read(path: &Path) -> Result<Self, Report<RelayConfigError>> {
         let text = std::fs::read_to_string(path).change_context(RelayConfigError::Unreadable)?;
         Self::parse(&text)
     }
 
-    /// Parses and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// They are malformed or hold a value out of range.
+    /// The settings are malformed or have a value out of range.
     pub fn parse(text: &str) -> Result<Self, Report<RelayConfigError>> {
         let values = toml::Deserializer::parse(text).change_context(RelayConfigError::Malformed)?;
         let mut unknown = Vec::new();
@@ -201,18 +201,18 @@
         .change_context(RelayConfigError::Malformed)?;
         cfg.bounds.check()?;
         check_placement(&cfg.placement)?;
-        let is_share = cfg.cpu_share > 0.0 && cfg.cpu_share <= MOST_CORES;
+        let is_share = cfg.cpu_share > 0.0 && cfg.cpu_share <= MAX_CORES;
         check_all(&[("cpu_share", "above 0, at most 1,024", is_share)])?;
         Ok(Self { unknown, ..cfg })
     }
 
-    /// The processor time that it may use, in thousandths of a core.
+    /// The available processor time, in thousandths of a core.
     pub(crate) fn capacity(&self) -> u32 {
         (self.cpu_share * MILLIS_PER_CORE) as u32
     }
 }
 
-/// Settings with what is allowed, and whether that holds.
+/// A setting's name, its allowed range, and whether the value is in it.
 type Check = (&'static str, &'static str, bool);
 
 fn check_all(checks: &[Check]) -> Result<(), Report<RelayConfigError>> {
@@ -262,7 +262,7 @@
         check_all(&checks)
     }
 
-    /// The bounds of the repeat budget.
+    /// The bounds of the retry budget.
     pub(crate) fn budget(&self) -> RetryBudgetBounds {
         RetryBudgetBounds {
             ratio: self.repeat_ratio,
@@ -271,10 +271,10 @@
         }
     }
 
-    /// The bounds on how old the configuration may be.
+    /// The bounds on the age of the configuration.
     pub(crate) fn gate(&self) -> AdmissionBounds {
         let revoked = millis(self.key_revoked_ms);
-        let key_age = (self.key_revoked_ms > 0.0).then(|| revoked.mul_f64(KEY_AGE_SHARE));
+        let key_age = (self.key_revoked_ms > 0.0).then(|| revoked.mul_f64(KEY_MAX_AGE_SHARE));
         AdmissionBounds { key_age, denial_age: millis(self.config_apply_ms) }
     }
 
--- a/crates/ringbend-relay/src/crashes.rs
+++ b/crates/ringbend-relay/src/crashes.rs
@@ -1,14 +1,16 @@
-//! What an endpoint's process does to the requests on it when it ends.
+//! Attribution of endpoint crashes to the requests that ran on them.
 //!
-//! A connection that breaks proves nothing: engines cut answers, connections are reset, and engines leave.
-//! That a process has ended is proved by its address, which refuses connections right after one broke; or by
-//! its own later word or that of the one that took its place. Where neither comes, nothing is held against
-//! the request: a strike that is missed costs one more engine, a wrong one may hold up a request that harms
-//! nobody. A process that leaves is meant to end, so its end is no strike either.
+//! A broken connection proves nothing: engines cut off responses, connections are reset, and
+//! engines are shut down. The end of a process is proved if its address refuses connections right
+//! after one broke, or by a later message of the process itself or of its successor. Without such
+//! proof the request is not blamed: a missed strike costs one more engine, while a wrong one may
+//! hold up a harmless request. A process that leaves is expected to end, so its end is no strike
+//! either.
 //!
-//! Only the endpoint that a request was sent to counts, not those that help it to read a long prompt. One that ends
-//! each engine which begins it ends its lead as well, so a lead that goes on speaks for it; and where many engines
-//! have ended by themselves a long prompt meets another one of them with each try.
+//! Only the end of the endpoint that a request was sent to counts, not that of the helpers that
+//! prefill part of a long prompt. A request that crashes every engine that starts it also crashes
+//! its lead, so a lead that continues is evidence in its favour. And if many engines crash for
+//! other reasons, a long prompt would meet another one of them with each run.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -20,205 +22,211 @@
 use ringbend_types::{Fingerprint, Timestamp};
 use tokio::net::TcpStream;
 
-use crate::life::Life;
+use crate::active_request::ActiveRequest;
 use crate::node::Node;
-use crate::silence::Broken;
+use crate::timeouts::RunError;
 
-/// How long an endpoint is given to take or refuse a connection: within a region it takes some
+/// How long an endpoint may take to accept or refuse a connection. Within a region this takes a few
 /// milliseconds, and the request waits for it.
-const LOOK_TIME: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long after a look that found somebody listening it is looked again. A process that ends may close its
-/// connections before it stops listening, and what forwards to it may notice later.
-const SECOND_LOOK: Duration = Duration::from_millis(60);
+/// Delay after which an address that accepted a connection is probed again. A process that ends may
+/// close its connections before it stops listening, and a proxy in front of it may notice later.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(60);
 
-/// How long what was found holds for others whose connections broke: those of one process break together.
-const FOUND_TIME: Duration = Duration::from_millis(40);
+/// How long a probe's result is reused for other broken connections, as the connections of one
+/// process break together.
+const PROBE_RESULT_TTL: Duration = Duration::from_millis(40);
 
-/// A stream that has been written for so long did not end its engine: one that does ends it as soon as it has
-/// begun. Keeps the strikes off long answers, which meet most ends of engines.
+/// A response that has been streaming for this time is not the cause of its engine's crash: a
+/// request that crashes its engine does so right after it has started. This avoids strikes against
+/// long responses, which are affected by most engine crashes.
 const HARMLESS_AFTER: Duration = Duration::from_secs(1);
 
-/// How long after a send its caller's leaving is followed by a look at the endpoint. Requests that end their engines
-/// do so within a tenth of a second after they have begun; those that wait at the engine for longer than this
-/// ended none. It keeps the looks few: one connection for each caller that leaves sooner than most answers begin.
-const HASTY: Duration = Duration::from_millis(400);
+/// The endpoint is probed only if the caller disconnects within this time after the send. Requests
+/// that crash their engine do so within a tenth of a second after they have started, and one that
+/// has been queued at the engine for longer than this did not crash it. The limit keeps the number
+/// of probes small: one connection for each caller that disconnects before most responses begin.
+const MAX_HASTY_ABANDON: Duration = Duration::from_millis(400);
 
-/// How long after a caller has left it is looked whether the endpoint is still there: longer than a request takes to
-/// end its engine.
-const LEFT_LOOK: Duration = Duration::from_millis(150);
+/// Delay between a caller's disconnect and the probe of its endpoint; longer than a request takes
+/// to crash its engine.
+const ABANDON_PROBE_DELAY: Duration = Duration::from_millis(150);
 
-/// What came of a look at an endpoint's address.
+/// The result of probing an endpoint's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Found {
-    /// Somebody listens.
+enum ProbeResult {
+    /// The connection was accepted.
     Listening,
-    /// Nobody does.
+    /// The connection was refused.
     Refused,
-    /// No answer.
+    /// No reply within the timeout.
     Silent,
 }
 
-/// A run that may be to blame for the end of its endpoint.
+/// A run that may be the cause of its endpoint's crash.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Blamed {
+pub(crate) struct SuspectedRun {
     pub(crate) fingerprint: Fingerprint,
-    /// The strikes that its request had when the run began.
+    /// The request's strikes when the run started.
     pub(crate) strikes_before: usize,
 }
 
-/// A run that has not begun to answer. If it is dropped by then, its caller has left, and its endpoint may end by it
-/// all the same; nobody else may be on it to notice.
-pub(crate) struct Unanswered {
+/// Guards a run without a response. If it is dropped in this state, the caller has disconnected.
+/// The endpoint may crash all the same, and possibly no other request runs there to notice it.
+pub(crate) struct AbandonGuard {
     node: Rc<Node>,
     endpoint: Endpoint,
-    run: Blamed,
-    sent: Timestamp,
-    is_open: bool,
+    run: SuspectedRun,
+    sent_at: Timestamp,
+    is_armed: bool,
 }
 
-impl Unanswered {
-    /// Notes that the run has begun to answer, or how it ended.
-    pub(crate) fn settle(&mut self) {
-        self.is_open = false;
+impl AbandonGuard {
+    /// Disarms the guard once the run has a response or has ended.
+    pub(crate) fn disarm(&mut self) {
+        self.is_armed = false;
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for AbandonGuard {
     fn drop(&mut self) {
-        let was_hasty = self.node.clock.now().since(self.sent) < HASTY;
-        if !self.is_open || !was_hasty {
+        let was_abandoned_early = self.node.clock.now().since(self.sent_at) < MAX_HASTY_ABANDON;
+        if !self.is_armed || !was_abandoned_early {
             return;
         }
         let (node, endpoint, run) = (self.node.clone(), self.endpoint.clone(), self.run);
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(LEFT_LOOK).await;
-            node.look_for_end(&endpoint, run).await;
+            tokio::time::sleep(ABANDON_PROBE_DELAY).await;
+            node.probe_for_crash(&endpoint, run).await;
         });
     }
 }
 
-struct Lookup {
+struct Probe {
     at: Timestamp,
-    /// None while it is looked at.
-    found: Option<Found>,
+    /// `None` while the probe is in progress.
+    found: Option<ProbeResult>,
 }
 
-/// The endpoints that were lately looked at.
+/// Recently probed endpoints.
 #[derive(Default)]
-pub(crate) struct Lookups(HashMap<SocketAddrV4, Lookup>);
+pub(crate) struct EndpointProbes(HashMap<SocketAddrV4, Probe>);
 
 impl Node {
-    /// Looks whether an endpoint's process is there; the first of those that ask at once looks for all.
-    async fn look_at(self: &Rc<Self>, address: SocketAddrV4) -> Found {
+    /// Checks whether an endpoint's process is listening. Concurrent checks of one address share
+    /// the first one's probe.
+    async fn probe(self: &Rc<Self>, address: SocketAddrV4) -> ProbeResult {
         let now = self.clock.now();
-        let known = self.lookups.borrow().0.get(&address).map(|lookup| (lookup.at, lookup.found));
+        let known = self.probes.borrow().0.get(&address).map(|probe| (probe.at, probe.found));
         match known {
-            Some((at, Some(found))) if now.since(at) < FOUND_TIME => return found,
-            Some((at, None)) if now.since(at) < FOUND_TIME => {}
-            _ => return self.connect_to(now, address).await,
+            Some((at, Some(found))) if now.since(at) < PROBE_RESULT_TTL => return found,
+            Some((at, None)) if now.since(at) < PROBE_RESULT_TTL => {}
+            _ => return self.connect_probe(now, address).await,
         }
-        let until = now + LOOK_TIME;
+        let until = now + PROBE_TIMEOUT;
         while self.clock.now() < until {
             tokio::time::sleep(Duration::from_millis(1)).await;
-            if let Some(found) = self.lookups.borrow().0.get(&address).and_then(|l| l.found) {
+            if let Some(found) = self.probes.borrow().0.get(&address).and_then(|l| l.found) {
                 return found;
             }
         }
-        Found::Silent
+        ProbeResult::Silent
     }
 
-    async fn connect_to(&self, now: Timestamp, address: SocketAddrV4) -> Found {
-        let lookup = Lookup { at: now, found: None };
+    async fn connect_probe(&self, now: Timestamp, address: SocketAddrV4) -> ProbeResult {
+        let probe = Probe { at: now, found: None };
         {
-            let lookups = &mut self.lookups.borrow_mut().0;
-            lookups.retain(|_, lookup| now.since(lookup.at) < FOUND_TIME);
-            lookups.insert(address, lookup);
+            let probes = &mut self.probes.borrow_mut().0;
+            probes.retain(|_, probe| now.since(probe.at) < PROBE_RESULT_TTL);
+            probes.insert(address, probe);
         }
-        let connected = tokio::time::timeout(LOOK_TIME, TcpStream::connect(address)).await;
+        let connected = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
         let found = match connected {
-            Ok(Ok(_)) => Found::Listening,
-            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => Found::Refused,
-            Ok(Err(_)) | Err(_) => Found::Silent,
+            Ok(Ok(_)) => ProbeResult::Listening,
+            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => ProbeResult::Refused,
+            Ok(Err(_)) | Err(_) => ProbeResult::Silent,
         };
-        if let Some(lookup) = self.lookups.borrow_mut().0.get_mut(&address) {
-            lookup.found = Some(found);
+        if let Some(probe) = self.probes.borrow_mut().0.get_mut(&address) {
+            probe.found = Some(found);
         }
         found
     }
 
-    /// Looks whether an endpoint on which a request broke off has ended, and notes it if it has. Returns whether
-    /// somebody was found to listen there.
-    async fn look_for_end(self: &Rc<Self>, endpoint: &Endpoint, run: Blamed) -> bool {
-        let found = self.look_at(endpoint.address).await;
+    /// Checks whether an endpoint on which a request broke off has crashed, and records a strike if
+    /// so. Returns whether the address accepted a connection.
+    async fn probe_for_crash(self: &Rc<Self>, endpoint: &Endpoint, run: SuspectedRun) -> bool {
+        let found = self.probe(endpoint.address).await;
         let is_settled = self.directory.borrow().is_settled(endpoint);
         log::info!(
             target: "endpoints", endpoint:% = endpoint.id, fingerprint:% = run.fingerprint, found:?, is_settled;
-            "broke off"
+            "request broke off; endpoint probed"
         );
-        if found == Found::Refused && is_settled {
-            self.strike(run, endpoint);
+        if found == ProbeResult::Refused && is_settled {
+            self.record_strike(run, endpoint);
         }
-        found == Found::Listening && is_settled
+        found == ProbeResult::Listening && is_settled
     }
 
-    /// The same, and again a little later where somebody was found to listen; the request does not wait for
-    /// that. Goes on though the request's caller leaves.
-    async fn look_twice(self: Rc<Self>, endpoint: Endpoint, run: Blamed) {
-        if !self.look_for_end(&endpoint, run).await {
+    /// Like [`Self::probe_for_crash`], and again after a delay if the address accepted a
+    /// connection. The request does not wait for the second probe, which is made even if its caller
+    /// disconnects.
+    async fn probe_twice(self: Rc<Self>, endpoint: Endpoint, run: SuspectedRun) {
+        if !self.probe_for_crash(&endpoint, run).await {
             return;
         }
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(SECOND_LOOK).await;
-            self.look_for_end(&endpoint, run).await;
+            tokio::time::sleep(SECOND_PROBE_DELAY).await;
+            self.probe_for_crash(&endpoint, run).await;
         });
     }
 
-    /// Notes that an endpoint's process ended while it ran a request.
-    pub(crate) fn strike(self: &Rc<Self>, run: Blamed, endpoint: &Endpoint) {
-        let of = run.fingerprint;
+    /// Records that an endpoint's process ended while it ran the request.
+    pub(crate) fn record_strike(self: &Rc<Self>, run: SuspectedRun, endpoint: &Endpoint) {
+        let fingerprint = run.fingerprint;
         let process = EndedProcess { endpoint: endpoint.id.clone(), start: endpoint.start };
         let now = self.clock.now();
-        if self.quarantine.borrow_mut().strike(now, of, process, run.strikes_before) {
+        if self.quarantine.borrow_mut().strike(now, fingerprint, process, run.strikes_before) {
             self.metrics.strike();
-            self.changed_suspect(of, true);
-            self.keep_suspect(of);
+            self.publish_suspect(fingerprint, true);
+            self.store_suspect(fingerprint);
         }
     }
 }
 
-impl Life {
-    fn blamed(&self) -> Blamed {
-        Blamed { fingerprint: self.origin.fingerprint, strikes_before: self.strikes_before }
+impl ActiveRequest {
+    fn suspected_run(&self) -> SuspectedRun {
+        SuspectedRun { fingerprint: self.original.fingerprint, strikes_before: self.strikes_before }
     }
 
-    /// A run on this endpoint that is sent now.
-    pub(crate) fn unanswered(&self, endpoint: &Endpoint) -> Unanswered {
-        let (node, endpoint, run) = (self.node.clone(), endpoint.clone(), self.blamed());
-        Unanswered { sent: node.clock.now(), node, endpoint, run, is_open: true }
+    /// Creates the guard of a run on this endpoint that is sent now.
+    pub(crate) fn abandon_guard(&self, endpoint: &Endpoint) -> AbandonGuard {
+        let (node, endpoint, run) = (self.node.clone(), endpoint.clone(), self.suspected_run());
+        AbandonGuard { sent_at: node.clock.now(), node, endpoint, run, is_armed: true }
     }
 
-    /// Whether the request may be to blame if an engine ends on which it runs now.
-    fn may_be_to_blame(&self) -> bool {
+    /// Whether the request could be the cause if the engine that it runs on crashes now.
+    fn may_have_caused_crash(&self) -> bool {
         let now = self.node.clock.now();
-        self.writes_since.is_none_or(|since| now.since(since) < HARMLESS_AFTER)
+        self.streaming_since.is_none_or(|since| now.since(since) < HARMLESS_AFTER)
     }
 
-    /// Finds out whether a send broke because its endpoint ended, before it is sent elsewhere.
-    pub(crate) async fn find_cause(&self, endpoint: &Endpoint, why: &Broken) {
-        if !self.may_be_to_blame() {
+    /// Determines whether a run failed because its endpoint crashed, before the request is sent
+    /// elsewhere.
+    pub(crate) async fn check_for_crash(&self, endpoint: &Endpoint, why: &RunError) {
+        if !self.may_have_caused_crash() {
             return;
         }
-        let (node, run) = (&self.node, self.blamed());
+        let (node, run) = (&self.node, self.suspected_run());
         match why {
-            Broken::Exchange(e) if !e.nothing_sent() => {
-                let looking = node.clone().look_twice(endpoint.clone(), run);
-                if tokio::task::spawn_local(looking).await.is_err() {
-                    log::debug!(target: "endpoints", id = self.id(); "the look was cut short");
+            RunError::Exchange(e) if !e.is_unsent() => {
+                let probing = node.clone().probe_twice(endpoint.clone(), run);
+                if tokio::task::spawn_local(probing).await.is_err() {
+                    log::debug!(target: "endpoints", id = self.request_id(); "probe task failed");
                 }
             }
-            Broken::Ended if node.directory.borrow().has_ended(endpoint) => {
-                node.strike(run, endpoint);
+            RunError::Ended if node.directory.borrow().has_ended(endpoint) => {
+                node.record_strike(run, endpoint);
             }
             _ => {}
         }
--- /dev/null
+++ b/crates/ringbend-relay/src/discovery.rs
@@ -0,0 +1,227 @@
+//! Discovery of other instances at startup, through configured seeds or the registry in the store.
+
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use rand::Rng;
+use ringbend_gateway::{InstanceRank, Role, SCHEDULERS_PER_DATA_CENTRE};
+use ringbend_types::DataCentre;
+
+use crate::SourceError;
+use crate::node::Node;
+use crate::ports::{InstanceRecord, InstanceRegistry};
+
+/// Interval at which the registry is read until that succeeds.
+const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(700);
+
+/// How long the seeds may take to reply.
+const SEED_TIMEOUT: Duration = Duration::from_millis(120);
+
+/// The delays before each greeting of the seeds.
+const SEED_GREETING_DELAYS: [Duration; 4] = [
+    Duration::ZERO,
+    Duration::from_millis(100),
+    Duration::from_millis(300),
+    Duration::from_millis(1_500),
+];
+
+/// Timeout of registry calls. A slow store takes up to a third of a second per call; a lost
+/// response never arrives.
+const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// Number of instances of the own data centre in the first greeting. One scheduler is enough, as it
+/// names the others, but entries of instances that no longer run may precede it. Each further
+/// greeting goes to twice as many.
+const INITIAL_GREETED: usize = 2 * SCHEDULERS_PER_DATA_CENTRE;
+
+/// Number of greetings. After this many, hundreds of instances were greeted, or none is running.
+const GREETING_ROUNDS: usize = 6;
+
+/// How long greeted instances may take to reply before further ones are greeted.
+const GREETING_TIMEOUT: Duration = Duration::from_millis(60);
+
+/// How long an instance that finds an empty registry waits before it writes its own entry, in
+/// milliseconds. The time is random, so that only a few of many instances that start together write
+/// one: the others find those entries.
+const EMPTY_REGISTRY_WAIT_MS: std::ops::Range<u64> = 0..400;
+
+/// Greets the seeds several times, as they may just be starting. Their replies name the schedulers.
+pub(crate) async fn greet_seeds(node: Rc<Node>, seeds: Vec<SocketAddrV4>) {
+    let Some(own) = node.peers_address() else { return };
+    let at_own_port = |seed: &SocketAddrV4| SocketAddrV4::new(*seed.ip(), own.port());
+    let seeds: Vec<SocketAddrV4> = seeds.iter().map(at_own_port).collect();
+    for pause in SEED_GREETING_DELAYS {
+        tokio::time::sleep(pause).await;
+        node.greet(&seeds);
+    }
+}
+
+/// Finds other instances through the registry, and registers this one if it is a scheduler.
+pub(crate) async fn join(node: Rc<Node>, registry: Rc<dyn InstanceRegistry>, has_seeds: bool) {
+    if has_seeds {
+        // If the seeds reply in this time, the registry need not be read.
+        tokio::time::sleep(SEED_TIMEOUT).await;
+    }
+    loop {
+        // A call that hangs since the store became unavailable is abandoned once the store is back.
+        let joined = tokio::select! {
+            done = register(&node, &*registry) => done,
+            () = node.store_recovered.notified() => continue,
+        };
+        match joined {
+            Ok(()) => break,
+            Err(e) => {
+                log::info!(target: "peers", error:% = e; "registration failed; retrying");
+                tokio::select! {
+                    () = tokio::time::sleep(REGISTRY_RETRY_INTERVAL.mul_f64(node.store_retry_factor())) => {}
+                    () = node.store_recovered.notified() => {}
+                }
+            }
+        }
+    }
+    let (instances, schedules) =
+        (node.peers.borrow().instances(node.clock.now()), node.is_scheduler());
+    log::info!(target: "peers", instances, schedules; "discovery complete");
+}
+
+/// Whether other instances schedule for this one, so that it need not be found.
+fn is_member(node: &Node) -> bool {
+    node.peers.borrow().role() == Role::Member
+}
+
+/// Whether an instance of this data centre is known. An instance of another data centre that was
+/// asked while it was starting does not name those here, and sends this one nothing more.
+fn hears_own_data_centre(node: &Node) -> bool {
+    node.peers.borrow().local_instances(node.clock.now()) > 1
+}
+
+/// Only schedulers need an entry: an instance that starts contacts the best-ranked registered ones,
+/// and learns of the others from them. An instance that was killed finds its own and the others'
+/// entries unchanged, so one call is enough after the loss of all instances.
+async fn register(node: &Rc<Node>, registry: &dyn InstanceRegistry) -> Result<(), SourceError> {
+    let Some(address) = node.peers_address() else { return Ok(()) };
+    if !hears_own_data_centre(node) {
+        read_registry(node, registry).await?;
+        if node.registry_records.borrow().is_empty() {
+            let wait = node.rng.borrow_mut().random_range(EMPTY_REGISTRY_WAIT_MS);
+            tokio::time::sleep(Duration::from_millis(wait)).await;
+            read_registry(node, registry).await?;
+        }
+        schedule_if_needed(node);
+        greet_own_data_centre(node).await;
+    }
+    let has_row = node.registry_records.borrow().iter().any(|row| row.address == address);
+    if is_member(node) || has_row {
+        return Ok(());
+    }
+    let own = {
+        let cfg = node.cfg.borrow();
+        InstanceRecord {
+            address,
+            data_centre: Some(cfg.data_centre.clone()),
+            capacity: cfg.capacity(),
+        }
+    };
+    with_timeout(registry.register(&own)).await?;
+    if !hears_own_data_centre(node) {
+        // Of two instances that start together, the one that reads later finds the other.
+        read_registry(node, registry).await?;
+        greet_own_data_centre(node).await;
+        node.greet_other_data_centres();
+    }
+    Ok(())
+}
+
+async fn read_registry(node: &Node, registry: &dyn InstanceRegistry) -> Result<(), SourceError> {
+    let rows = with_timeout(registry.list()).await?;
+    log::info!(target: "peers", rows = rows.len(); "registry read");
+    *node.registry_records.borrow_mut() = rows;
+    Ok(())
+}
+
+/// Becomes a scheduler at once if too few registered instances are ranked higher.
+fn schedule_if_needed(node: &Node) {
+    let is_needed = {
+        let (rows, home) = (node.registry_records.borrow(), &node.cfg.borrow().data_centre);
+        let standings = rows.iter().filter(|row| is_in_data_centre(row, home));
+        node.peers.borrow().is_needed_beside(standings.map(standing))
+    };
+    if is_needed && node.peers.borrow().role() == Role::Starting {
+        node.peers.borrow_mut().become_scheduler();
+        node.become_scheduler();
+    }
+}
+
+async fn with_timeout<T>(
+    call: impl Future<Output = Result<T, SourceError>>,
+) -> Result<T, SourceError> {
+    tokio::time::timeout(REGISTRY_TIMEOUT, call).await.unwrap_or(Err(SourceError::TimedOut))
+}
+
+/// Greets the highest-ranked instances of this data centre, and more of them each time, until a
+/// scheduler is known.
+async fn greet_own_data_centre(node: &Rc<Node>) {
+    let home = node.cfg.borrow().data_centre.clone();
+    let at_home = ranked_addresses(
+        node.registry_records.borrow().iter().filter(|row| is_in_data_centre(row, &home)),
+    );
+    // Without entries there is no instance to wait for.
+    let rounds = if at_home.is_empty() { 0 } else { GREETING_ROUNDS };
+    let mut count = INITIAL_GREETED;
+    for _ in 0..rounds {
+        node.greet(&at_home[..count.min(at_home.len())]);
+        count *= 2;
+        let until = node.clock.now() + GREETING_TIMEOUT;
+        while hears_no_scheduler(node) && node.clock.now() < until {
+            tokio::time::sleep(GREETING_TIMEOUT / 12).await;
+        }
+        node.joined.set(true);
+        node.review_role();
+        if !hears_no_scheduler(node) {
+            return;
+        }
+    }
+}
+
+fn hears_no_scheduler(node: &Node) -> bool {
+    node.peers.borrow().local_schedulers(node.clock.now()).is_empty()
+}
+
+fn is_in_data_centre(row: &InstanceRecord, home: &DataCentre) -> bool {
+    row.data_centre.as_ref().is_none_or(|centre| centre == home)
+}
+
+fn standing(row: &InstanceRecord) -> InstanceRank {
+    InstanceRank::new(row.capacity, row.address)
+}
+
+/// The addresses in order of rank, highest first.
+fn ranked_addresses<'a>(rows: impl Iterator<Item = &'a InstanceRecord>) -> Vec<SocketAddrV4> {
+    let mut all: Vec<InstanceRank> = rows.map(standing).collect();
+    all.sort();
+    all.into_iter().map(|standing| standing.address()).collect()
+}
+
+impl Node {
+    /// Greets the instances that are likely schedulers in each other data centre.
+    pub(crate) fn greet_other_data_centres(&self) {
+        let addresses = {
+            let (rows, home) = (self.registry_records.borrow(), &self.cfg.borrow().data_centre);
+            addresses_elsewhere(&rows, home)
+        };
+        self.greet(&addresses);
+    }
+}
+
+fn addresses_elsewhere(rows: &[InstanceRecord], home: &DataCentre) -> Vec<SocketAddrV4> {
+    let mut centres: Vec<&DataCentre> =
+        rows.iter().filter_map(|row| row.data_centre.as_ref()).collect();
+    centres.sort();
+    centres.dedup();
+    let of_centre = |centre: &DataCentre| {
+        let there = rows.iter().filter(|row| row.data_centre.as_ref() == Some(centre));
+        ranked_addresses(there).into_iter().take(SCHEDULERS_PER_DATA_CENTRE).collect::<Vec<_>>()
+    };
+    centres.into_iter().filter(|centre| *centre != home).flat_map(of_centre).collect()
+}
--- a/crates/ringbend-relay/src/exchange.rs
+++ b/crates/ringbend-relay/src/exchange.rs
@@ -1,9 +1,9 @@
-//! One request and its answer on a connection of its own.
+//! One HTTP request and its response on a dedicated connection.
 //!
-//! The codec is `actix-http`'s. The client above it, `awc`, is not used here because it takes a
-//! connection that closes inside a chunked body, or an answer that has neither length nor chunks,
-//! for the end of a whole answer; passing those on as complete would hand callers half an answer.
-//! A connection of its own for each send also keeps late answers to earlier requests out.
+//! The codec is that of `actix-http`. Its client `awc` is not used, because it accepts a connection
+//! that closes inside a chunked body, or a response with neither length nor chunked encoding, as a
+//! complete response. Callers would then receive truncated responses as complete ones. The
+//! dedicated connection also prevents late responses to earlier requests from being mixed up.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -20,42 +20,42 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// How long a connection may take to open. Within a region it takes some milliseconds; a dropped
-/// opening packet is sent again only after a second, so waiting longer gains nothing.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+/// Connect timeout. Within a region connecting takes a few milliseconds. A lost SYN packet is
+/// retransmitted only after a second, so a longer timeout gains nothing.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Bytes read at once.
+/// Number of bytes per read.
 const READ_BYTES: usize = 8 << 10;
 
-/// The longest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Why an exchange has no whole answer.
+/// Why an exchange did not produce a complete response.
 #[derive(Debug)]
 pub(crate) enum ExchangeError {
-    /// The connection did not open, so nothing was sent.
-    NotConnected,
-    /// The request cannot be written, so nothing was sent.
-    NotEncoded(std::io::Error),
+    /// The connection could not be established, so nothing was sent.
+    ConnectFailed,
+    /// The request cannot be encoded, so nothing was sent.
+    EncodeFailed(std::io::Error),
     /// The connection broke.
     Io(std::io::Error),
-    /// The answer's head is no HTTP.
+    /// The response head is not valid HTTP.
     Head(ParseError),
-    /// The answer's body is no HTTP.
+    /// The response body is not valid HTTP.
     Body(PayloadError),
-    /// The connection ended before the answer did.
+    /// The connection was closed before the response was complete.
     Truncated,
 }
 
 impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotConnected => write!(f, "no connection"),
-            Self::NotEncoded(e) => write!(f, "cannot be written: {e}"),
-            Self::Io(e) => write!(f, "connection broke: {e}"),
-            Self::Head(e) => write!(f, "bad head: {e}"),
-            Self::Body(e) => write!(f, "bad body: {e}"),
-            Self::Truncated => write!(f, "connection ended before the answer"),
+            Self::ConnectFailed => write!(f, "cannot connect"),
+            Self::EncodeFailed(e) => write!(f, "cannot encode the request: {e}"),
+            Self::Io(e) => write!(f, "connection error: {e}"),
+            Self::Head(e) => write!(f, "invalid response head: {e}"),
+            Self::Body(e) => write!(f, "invalid response body: {e}"),
+            Self::Truncated => write!(f, "connection closed before the end of the response"),
         }
     }
 }
@@ -64,23 +64,23 @@
 
 impl ExchangeError {
     /// Whether no byte of the request can have reached the endpoint.
-    pub(crate) fn nothing_sent(&self) -> bool {
-        matches!(self, Self::NotConnected | Self::NotEncoded(_))
+    pub(crate) fn is_unsent(&self) -> bool {
+        matches!(self, Self::ConnectFailed | Self::EncodeFailed(_))
     }
 }
 
 enum Framing {
-    /// By length or chunks.
-    Coded(ClientPayloadCodec),
-    /// Ends with the connection.
-    ToEnd,
-    /// Has ended.
+    /// Content length or chunked encoding.
+    Encoded(ClientPayloadCodec),
+    /// The body extends to the end of the connection.
+    UntilClose,
+    /// The body is complete.
     Done,
 }
 
-/// An answer whose body is still to be read. Dropping it closes the connection, which tells the
+/// A response whose body is still to be read. Dropping it closes the connection, which tells the
 /// endpoint to stop.
-pub(crate) struct Answer {
+pub(crate) struct IncomingResponse {
     pub(crate) head: ResponseHead,
     connection: OwnedReadHalf,
     _write: OwnedWriteHalf,
@@ -88,23 +88,23 @@
     framing: Framing,
 }
 
-/// Sends a request and reads the head of its answer.
+/// Sends a request and reads the head of the response.
 pub(crate) async fn send(
     cfg: &ServiceConfig,
     address: SocketAddrV4,
     head: RequestHead,
     body: Bytes,
-) -> Result<Answer, ExchangeError> {
+) -> Result<IncomingResponse, ExchangeError> {
     let method = head.method.clone();
     let mut codec = ClientCodec::new(cfg.clone());
-    let request = encode(&mut codec, head, &body).map_err(ExchangeError::NotEncoded)?;
+    let request = encode(&mut codec, head, &body).map_err(ExchangeError::EncodeFailed)?;
     let (mut read, mut write) = connect(address).await?.into_split();
     let mut buf = BytesMut::with_capacity(READ_BYTES);
-    // An endpoint may answer before it has read the body, so both go on at once.
+    // An endpoint may respond before it has read the body, so writing and reading run concurrently.
     let written = async {
         if write.write_all(&request).await.is_err() {
-            // The answer, if one comes, tells more than the failed write.
-            log::debug!(target: "exchange", address:%; "request not written whole");
+            // A response, if one arrives, is more informative than the failed write.
+            log::debug!(target: "exchange", address:%; "request not written completely");
         }
         std::future::pending::<()>().await;
     };
@@ -113,14 +113,14 @@
         () = written => return Err(ExchangeError::Truncated),
     };
     let framing = framing(&method, &head, codec);
-    Ok(Answer { head, connection: read, _write: write, buf, framing })
+    Ok(IncomingResponse { head, connection: read, _write: write, buf, framing })
 }
 
 async fn connect(address: SocketAddrV4) -> Result<TcpStream, ExchangeError> {
-    let connected = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address)).await;
-    let connection = connected.ok().and_then(Result::ok).ok_or(ExchangeError::NotConnected)?;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+    let connection = connected.ok().and_then(Result::ok).ok_or(ExchangeError::ConnectFailed)?;
     if let Err(e) = connection.set_nodelay(true) {
-        log::debug!(target: "exchange", error:% = e; "no-delay not set");
+        log::debug!(target: "exchange", error:% = e; "cannot set TCP_NODELAY");
     }
     Ok(connection)
 }
@@ -149,12 +149,15 @@
         if buf.len() > MAX_HEAD_BYTES {
             return Err(ExchangeError::Head(ParseError::TooLarge));
         }
-        fill(connection, buf).await?;
+        read_more(connection, buf).await?;
     }
 }
 
-/// Reads more bytes; their end is an error.
-async fn fill(connection: &mut OwnedReadHalf, buf: &mut BytesMut) -> Result<(), ExchangeError> {
+/// Reads more bytes. The end of the connection is an error.
+async fn read_more(
+    connection: &mut OwnedReadHalf,
+    buf: &mut BytesMut,
+) -> Result<(), ExchangeError> {
     buf.reserve(READ_BYTES);
     match connection.read_buf(buf).await.map_err(ExchangeError::Io)? {
         0 => Err(ExchangeError::Truncated),
@@ -170,30 +173,30 @@
         return Framing::Done;
     }
     if length.is_some() || head.headers.contains_key(TRANSFER_ENCODING) {
-        return Framing::Coded(codec.into_payload_codec());
+        return Framing::Encoded(codec.into_payload_codec());
     }
-    Framing::ToEnd
+    Framing::UntilClose
 }
 
-impl Answer {
-    /// The next bytes of the body; none once it has ended whole.
-    pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, ExchangeError> {
+impl IncomingResponse {
+    /// The next bytes of the body; `None` once it is complete.
+    pub(crate) async fn next_chunk(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match &mut self.framing {
                 Framing::Done => return Ok(None),
-                Framing::ToEnd => return self.chunk_to_end().await,
-                Framing::Coded(codec) => match codec.decode(&mut self.buf) {
+                Framing::UntilClose => return self.next_chunk_until_close().await,
+                Framing::Encoded(codec) => match codec.decode(&mut self.buf) {
                     Ok(Some(Some(chunk))) => return Ok(Some(chunk)),
                     Ok(Some(None)) => self.framing = Framing::Done,
-                    Ok(None) => fill(&mut self.connection, &mut self.buf).await?,
+                    Ok(None) => read_more(&mut self.connection, &mut self.buf).await?,
                     Err(e) => return Err(ExchangeError::Body(e)),
                 },
             }
         }
     }
 
-    async fn chunk_to_end(&mut self) -> Result<Option<Bytes>, ExchangeError> {
-        match fill(&mut self.connection, &mut self.buf).await {
+    async fn next_chunk_until_close(&mut self) -> Result<Option<Bytes>, ExchangeError> {
+        match read_more(&mut self.connection, &mut self.buf).await {
             Err(ExchangeError::Truncated) if self.buf.is_empty() => {
                 self.framing = Framing::Done;
                 Ok(None)
@@ -203,10 +206,10 @@
         }
     }
 
-    /// The whole body, which may hold `limit` bytes at most.
-    pub(crate) async fn whole(&mut self, limit: usize) -> Result<Bytes, ExchangeError> {
+    /// Reads the complete body, of at most `limit` bytes.
+    pub(crate) async fn read_to_end(&mut self, limit: usize) -> Result<Bytes, ExchangeError> {
         let mut body = BytesMut::new();
-        while let Some(chunk) = self.chunk().await? {
+        while let Some(chunk) = self.next_chunk().await? {
             if body.len() + chunk.len() > limit {
                 return Err(ExchangeError::Body(PayloadError::Overflow));
             }
--- a/crates/ringbend-relay/src/headers.rs
+++ b/crates/ringbend-relay/src/headers.rs
@@ -1,9 +1,9 @@
-//! Which headers are for the other end, and which concern one connection only.
+//! Separation of end-to-end headers from hop-by-hop headers.
 
 use actix_http::ResponseHead;
 use actix_http::header::{self, HeaderMap, HeaderName};
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to a single connection.
 const HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -15,7 +15,7 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// The headers that are for the other end, and not for this connection.
+/// The end-to-end headers.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named = headers.get_all(header::CONNECTION).filter_map(|value| value.to_str().ok());
     let named: Vec<String> = named
@@ -35,7 +35,7 @@
     kept
 }
 
-/// Copies an answer's headers, less those of its connection.
+/// Copies the end-to-end headers of a response.
 pub(crate) fn copy_headers(head: &ResponseHead, to: &mut HeaderMap) {
     for (name, value) in &end_to_end(&head.headers) {
         to.append(name.clone(), value.clone());
--- a/crates/ringbend-relay/src/lib.rs
+++ b/crates/ringbend-relay/src/lib.rs
@@ -1,48 +1,49 @@
-//! The driver of the opaque path: it carries out what `ringbend-gateway` decides.
+//! The relay, which executes the decisions of `ringbend-gateway` for requests whose bodies are
+//! passed through unread.
 //!
-//! Callers come in over HTTP/1.1; each send to an endpoint has a connection of its own; two watched
-//! tables keep configuration and endpoints current. The words on the wire and the store's protocol
-//! belong to an adapter that implements [`Dialect`] and [`Source`].
+//! Callers connect over HTTP/1.1. Each send to an endpoint uses a connection of its own. Two
+//! watched tables keep the configuration and the endpoints current. Headers and the store's
+//! protocol belong to an adapter that implements [`Dialect`] and [`Source`].
 
+mod active_request;
+mod admin;
 mod admission;
-mod asking;
 mod callers;
 mod config;
-mod copies;
 mod crashes;
-mod doors;
-mod ends;
+mod discovery;
+mod ended_endpoints;
+mod engine_pace;
 mod exchange;
-mod fetch;
-mod fields;
 mod fingerprint;
-mod granting;
+mod gossip_receiver;
+mod gossip_sender;
 mod headers;
-mod hearing;
-mod joining;
-mod keeping;
-mod life;
 mod limits;
-mod link;
-mod memory;
+mod log_fields;
 mod node;
-mod pacing;
-mod places;
-mod placing;
+mod peer_copies;
+mod peer_socket;
+mod permits;
+mod placement;
+mod placement_grants;
+mod placement_requests;
 mod ports;
+mod prompt_queue;
 mod refusal;
 mod relay;
-mod relayed;
+mod reservations;
 mod runs;
-mod scheduled;
+mod scheduling;
 mod sending;
+mod shutdown;
 mod signals;
-mod silence;
-mod stopping;
 mod streams;
+mod suspect_store;
 mod suspects;
-mod telling;
-mod turns;
+mod table_copies;
+mod table_gossip;
+mod timeouts;
 mod watch;
 
 pub use config::{BoundsConfig, ListenConfig, RelayConfig, RelayConfigError, StoreConfig};
@@ -53,4 +54,4 @@
     ReservationCommand, ReservationRequest, ResponseMetadata, Source, SourceError,
 };
 pub use relay::{Ports, Relay, RelayError};
-pub use stopping::StopSummary;
+pub use shutdown::StopSummary;
--- a/crates/ringbend-relay/src/limits.rs
+++ b/crates/ringbend-relay/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that endpoints name in their answers, and how all instances know of them.
+//! Rate limits that endpoints announce in their responses, and their distribution to all instances.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,33 +9,35 @@
 
 use crate::node::Node;
 
-/// The most limits told in one datagram, so that it stays well below what is read.
-const TOLD_AT_ONCE: usize = 64;
+/// Maximum number of limits per datagram, so that it stays well below the receive buffer.
+const MAX_PER_DATAGRAM: usize = 64;
 
-/// Limits below one request in this time are too seldom for requests to tell in time that they are gone.
-const SELDOM: Duration = Duration::from_secs(2);
+/// With a limit below one request in this time, requests are too infrequent to show in time that
+/// the limit was removed.
+const INFREQUENT_PERIOD: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Takes in what an answer to something that was sent at `asked` says of its endpoint's limit.
-    pub(crate) fn hear_limit(
+    /// Processes the rate limit in the response to a request that was sent at `asked`.
+    pub(crate) fn note_limit_signal(
         &self,
         endpoint: &Endpoint,
-        asked: Timestamp,
-        word: LimitSignal,
+        sent_at: Timestamp,
+        signal: LimitSignal,
         from: LimitSource,
     ) {
-        let heard = self.limits.borrow_mut().observe(self.clock.now(), endpoint, asked, word, from);
-        match heard {
+        let update =
+            self.limits.borrow_mut().observe(self.clock.now(), endpoint, sent_at, signal, from);
+        match update {
             LimitUpdate::Unchanged => {}
-            LimitUpdate::Changed => self.changed_limit(&endpoint.id, "its answer", true),
+            LimitUpdate::Changed => self.publish_limit(&endpoint.id, "its answer", true),
             LimitUpdate::Malformed(why) => {
-                log::warn!(target: "limits", endpoint:% = endpoint.id, why:%; "limit not read");
+                log::warn!(target: "limits", endpoint:% = endpoint.id, why:%; "invalid rate limit in response");
             }
         }
     }
 
-    /// Writes the line of what an endpoint's limit is now, and has others told.
-    fn changed_limit(&self, endpoint: &EndpointId, from: &str, for_all: bool) {
+    /// Logs an endpoint's current limit and queues it for other instances.
+    fn publish_limit(&self, endpoint: &EndpointId, from: &str, for_all: bool) {
         let limits = self.limits.borrow();
         let known = limits.known(endpoint);
         let rate = known.and_then(|known| known.rate);
@@ -43,7 +45,7 @@
         let (named, limited) = (rate.as_ref().map(RequestRate::to_string), limits.len());
         log::info!(
             target: "limits", endpoint:%, rate = named.as_deref().unwrap_or("none"), version, from, limited;
-            "limit"
+            "rate limit changed"
         );
         self.metrics.limited_endpoints.set(limited as i64);
         self.metrics.set_endpoint_limit(endpoint.as_str(), rate.map(RequestRate::as_f64));
@@ -53,46 +55,51 @@
             outbox.limits.push(endpoint.clone());
         }
         drop((limits, outbox));
-        self.signals.now.notify_one();
-        self.count_places();
+        self.flush.immediate.notify_one();
+        self.update_permits();
     }
 
-    /// What is known of the limits of these endpoints, as told to others, and what has changed lately.
-    pub(crate) fn told_limits(&self, of: &[EndpointId], now: Timestamp) -> Vec<EndpointLimit> {
+    /// The known limits of these endpoints and all recently changed ones, encoded for other
+    /// instances.
+    pub(crate) fn limit_updates(
+        &self,
+        endpoints: &[EndpointId],
+        now: Timestamp,
+    ) -> Vec<EndpointLimit> {
         let limits = self.limits.borrow();
-        let named = of.iter().filter_map(|endpoint| limits.known(endpoint));
-        let recent = limits.recent(now).filter(|known| !of.contains(&known.endpoint));
-        named.chain(recent).take(TOLD_AT_ONCE).map(encode_limit).collect()
+        let named = endpoints.iter().filter_map(|endpoint| limits.known(endpoint));
+        let recent = limits.recent(now).filter(|known| !endpoints.contains(&known.endpoint));
+        named.chain(recent).take(MAX_PER_DATAGRAM).map(encode_limit).collect()
     }
 
     /// All limits, for an instance that has just started.
-    pub(crate) fn all_limits(&self) -> Vec<LoadDigest> {
+    pub(crate) fn limit_snapshot(&self) -> Vec<LoadDigest> {
         let all: Vec<_> = self.limits.borrow().all().map(encode_limit).collect();
         let digest = |part: &[_]| LoadDigest { limits: part.to_vec(), ..self.digest() };
-        all.chunks(TOLD_AT_ONCE).map(digest).collect()
+        all.chunks(MAX_PER_DATAGRAM).map(digest).collect()
     }
 
-    /// Takes in what another instance knows of limits. What one that does not schedule tells is told on to all,
-    /// what a scheduler tells to those that do not schedule.
-    pub(crate) fn note_limits(&self, digest: &LoadDigest, from_scheduler: bool) {
+    /// Merges limits known to another instance. Those from a member are forwarded to all instances,
+    /// those from a scheduler to the members.
+    pub(crate) fn merge_limits(&self, digest: &LoadDigest, from_scheduler: bool) {
         let now = self.clock.now();
-        for told in &digest.limits {
-            match decode_limit(told) {
-                Ok(told) => self.note_limit(now, &told, from_scheduler),
-                Err(e) => log::warn!(target: "peers", error:% = e; "limit refused"),
+        for limit in &digest.limits {
+            match decode_limit(limit) {
+                Ok(limit) => self.merge_limit(now, &limit, from_scheduler),
+                Err(e) => log::warn!(target: "peers", error:% = e; "invalid rate limit in digest"),
             }
         }
     }
 
-    fn note_limit(&self, now: Timestamp, told: &KnownLimit, from_scheduler: bool) {
-        let has_changed = self.limits.borrow_mut().merge(now, told);
+    fn merge_limit(&self, now: Timestamp, limit: &KnownLimit, from_scheduler: bool) {
+        let has_changed = self.limits.borrow_mut().merge(now, limit);
         if has_changed {
-            self.changed_limit(&told.endpoint, "another instance", !from_scheduler);
+            self.publish_limit(&limit.endpoint, "another instance", !from_scheduler);
         }
     }
 
-    /// Forgets limits of endpoints that are gone, and has those asked that hardly get a request that could tell
-    /// when the limit ends.
+    /// Removes limits of endpoints that no longer exist, and queries endpoints that receive too few
+    /// requests to show when their limit ends.
     pub(crate) fn sweep_limits(self: &Rc<Self>, now: Timestamp) {
         if self.limits.borrow().has_no_records() {
             return;
@@ -100,15 +107,15 @@
         let directory = self.directory.borrow();
         self.limits.borrow_mut().sweep(now, |id| directory.get(id).is_none());
         let limits = self.limits.borrow();
-        self.places.borrow_mut().retain(|id| limits.known(id).is_some_and(|l| l.rate.is_some()));
-        let seldom = limits.all().filter(|known| known.rate.is_some_and(is_seldom));
-        let engines = seldom.filter(|known| self.is_engine(directory.get(&known.endpoint)));
-        let asked: Vec<EndpointId> = engines.map(|known| known.endpoint.clone()).collect();
+        self.permits.borrow_mut().retain(|id| limits.known(id).is_some_and(|l| l.rate.is_some()));
+        let infrequent = limits.all().filter(|known| known.rate.is_some_and(is_infrequent));
+        let engines = infrequent.filter(|known| self.is_engine(directory.get(&known.endpoint)));
+        let sent_at: Vec<EndpointId> = engines.map(|known| known.endpoint.clone()).collect();
         drop((limits, directory));
-        self.count_places();
-        if self.schedules() {
+        self.update_permits();
+        if self.is_scheduler() {
             let own = |id: &EndpointId| self.peers.borrow().probing_scheduler(now, id).is_none();
-            self.look_into(asked.into_iter().filter(own).collect::<Vec<_>>());
+            self.query_engines(sent_at.into_iter().filter(own).collect::<Vec<_>>());
         }
     }
 
@@ -119,6 +126,6 @@
     }
 }
 
-fn is_seldom(rate: RequestRate) -> bool {
-    rate.requests_in(SELDOM) < 1.0
+fn is_infrequent(rate: RequestRate) -> bool {
+    rate.requests_in(INFREQUENT_PERIOD) < 1.0
 }
--- a/crates/ringbend-relay/src/fields.rs
+++ b/crates/ringbend-relay/src/log_fields.rs
@@ -1,9 +1,9 @@
-//! How values look in log lines.
+//! Formatting of values in log messages.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Milliseconds, or a dash where there is nothing to tell.
+/// Milliseconds, or a dash if there is no value.
 pub(crate) struct Millis(pub(crate) Option<Duration>);
 
 impl fmt::Display for Millis {
@@ -15,10 +15,10 @@
     }
 }
 
-/// A word for an outcome that may be missing.
-pub(crate) struct Word<T>(pub(crate) Option<T>);
+/// The debug format of an optional outcome.
+pub(crate) struct OrNoAnswer<T>(pub(crate) Option<T>);
 
-impl<T: fmt::Debug> fmt::Display for Word<T> {
+impl<T: fmt::Debug> fmt::Display for OrNoAnswer<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
             Some(word) => write!(f, "{word:?}"),
--- a/crates/ringbend-relay/src/node.rs
+++ b/crates/ringbend-relay/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of one relay share.
+//! State shared by all parts of one relay.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -20,111 +20,112 @@
 use ringbend_wire::EndpointChanges;
 use tokio::sync::Notify;
 
-use crate::asking::Asks;
 use crate::config::RelayConfig;
-use crate::crashes::Lookups;
-use crate::granting::Grants;
-use crate::keeping::LEARN_TIME;
-use crate::link::{Link, Signals};
-use crate::memory::HeldMemory;
+use crate::crashes::EndpointProbes;
+use crate::peer_socket::{FlushSignals, PeerSocket};
+use crate::placement_grants::PlacementGrants;
+use crate::placement_requests::PlacementRequests;
 use crate::ports::{ConfigDecoder, Cursor, Dialect, DurableStore, InstanceRecord};
+use crate::reservations::MemoryReservations;
 use crate::signals::LoggedSignals;
+use crate::suspect_store::SUSPECTS_WAIT;
 
-/// One relay's state. It lives on one thread.
+/// The state of one relay. It is confined to one thread.
 pub(crate) struct Node {
     pub(crate) cfg: RefCell<RelayConfig>,
     pub(crate) clock: Clock,
     pub(crate) dialect: Rc<dyn Dialect>,
-    pub(crate) decoder: Rc<dyn ConfigDecoder>,
-    /// The configuration in force as its table holds it, for other instances.
-    pub(crate) config_raw: RefCell<Option<Bytes>>,
-    /// All changes of the configuration's table up to here are known.
+    pub(crate) config_decoder: Rc<dyn ConfigDecoder>,
+    /// The active configuration, encoded as in its table; served to other instances.
+    pub(crate) encoded_config: RefCell<Option<Bytes>>,
+    /// The change history of the configuration table is known up to this position.
     pub(crate) config_cursor: Cell<Cursor>,
-    /// Copies that are being handed to other instances.
-    pub(crate) handing: Cell<usize>,
+    /// The number of copies of watched tables that are currently being sent to other instances.
+    pub(crate) active_copy_responses: Cell<usize>,
     pub(crate) replica: RefCell<Replica>,
     pub(crate) directory: RefCell<Directory>,
     pub(crate) load: RefCell<LoadTracker>,
-    pub(crate) trust: RefCell<HealthTracker>,
-    /// What endpoints take, by their own word.
+    pub(crate) health: RefCell<HealthTracker>,
+    /// Rate limits that endpoints announce in their responses.
     pub(crate) limits: RefCell<Limits>,
-    /// What endpoints asked this instance not to send for a while.
+    /// Endpoints that asked this instance to send nothing for a while.
     pub(crate) backoffs: RefCell<Backoffs>,
-    /// What of endpoints' signals was logged.
+    /// Which endpoint signals were logged already.
     pub(crate) logged_signals: RefCell<LoggedSignals>,
-    /// The places that such endpoints have left, where this instance counts them.
-    pub(crate) places: RefCell<Permits>,
+    /// Permits for rate-limited endpoints, where this instance is the limit coordinator.
+    pub(crate) permits: RefCell<Permits>,
     pub(crate) budget: RefCell<RetryBudget>,
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) peers: RefCell<Peers>,
-    /// Where instances listened when their rows were last read.
-    pub(crate) rows: RefCell<Vec<InstanceRecord>>,
-    /// What other instances have not been told yet.
+    /// The registry's entries when it was last read.
+    pub(crate) registry_records: RefCell<Vec<InstanceRecord>>,
+    /// Updates that have not been sent to other instances yet.
     pub(crate) outbox: RefCell<Outbox>,
-    pub(crate) signals: Signals,
-    /// Carries digests to other instances; none where load is not shared.
-    pub(crate) link: OnceCell<Link>,
-    /// Which engines were asked for their pace.
-    pub(crate) pace_asks: RefCell<PaceQueries>,
-    /// What schedulers were asked and have not answered.
-    pub(crate) asks: RefCell<Asks>,
-    /// What this instance was asked as a scheduler.
-    pub(crate) grants: RefCell<Grants>,
-    /// Told when other instances have told of work.
-    pub(crate) load_news: Notify,
-    /// Told when a call to the store has failed.
+    pub(crate) flush: FlushSignals,
+    /// The socket for datagrams to other instances; unset if no peer address is configured.
+    pub(crate) peer_socket: OnceCell<PeerSocket>,
+    /// When engines were last asked for their pace.
+    pub(crate) pace_queries: RefCell<PaceQueries>,
+    /// Placement requests to schedulers that have no reply yet.
+    pub(crate) placement_requests: RefCell<PlacementRequests>,
+    /// Placement requests that this instance received as a scheduler.
+    pub(crate) placement_grants: RefCell<PlacementGrants>,
+    /// Notified when other instances report changes of their open work.
+    pub(crate) load_changed: Notify,
+    /// Notified when a call to the store has failed.
     pub(crate) store_lost: Notify,
-    /// Since when the sentinel's calls to the store fail.
+    /// Start of the current store outage, as detected by the configuration watch.
     pub(crate) store_lost_at: Cell<Option<Timestamp>>,
-    /// Told when the sentinel reaches the store again.
-    pub(crate) store_regained: Notify,
-    /// Told when this instance has read the configuration's table.
+    /// Notified when the configuration watch reaches the store again.
+    pub(crate) store_recovered: Notify,
+    /// Notified when this instance has read the configuration table.
     pub(crate) store_read: Notify,
-    /// Who reads the watched tables.
+    /// Which instances read the watched tables from the store.
     pub(crate) readers: RefCell<StoreReaders>,
-    /// Told when this instance begins to read.
-    pub(crate) begins_to_read: Notify,
-    /// Told when this instance leaves reading to others.
-    pub(crate) ceases_to_read: Notify,
-    /// Whether this instance has looked for others.
+    /// Notified when this instance starts to read the watched tables.
+    pub(crate) started_reading: Notify,
+    /// Notified when this instance leaves reading to other instances.
+    pub(crate) stopped_reading: Notify,
+    /// Whether this instance has completed its search for other instances.
     pub(crate) joined: Cell<bool>,
-    /// Told when something that a starting instance lacked has come.
-    pub(crate) begun: Notify,
-    /// Told when another instance has a newer configuration.
-    pub(crate) config_news: Notify,
-    /// Told when another instance has read endpoint changes that this one has not.
-    pub(crate) endpoint_news: Notify,
-    /// All changes of the endpoints' table up to here are known.
+    /// Notified when state that a starting instance waits for has arrived.
+    pub(crate) startup_progress: Notify,
+    /// Notified when another instance has a newer configuration.
+    pub(crate) newer_config: Notify,
+    /// Notified when another instance has read endpoint changes that are unknown here.
+    pub(crate) newer_endpoints: Notify,
+    /// The change history of the endpoint table is known up to this position.
     pub(crate) endpoints_cursor: Cell<Cursor>,
-    /// Told when an endpoint's process is known to have ended.
+    /// Notified when the end of an endpoint's process becomes known.
     pub(crate) endpoint_ended: Notify,
-    /// Endpoint changes that others have not been told yet.
+    /// Endpoint changes that have not been sent to other instances yet.
     pub(crate) endpoint_changes: RefCell<Option<EndpointChanges>>,
-    /// Requests that are suspected of ending endpoints, or held for it.
+    /// Requests that are suspected of crashing endpoints, or held for that reason.
     pub(crate) quarantine: RefCell<Quarantine>,
-    /// Told when a request is held that was not.
-    pub(crate) held_news: Notify,
-    /// Whether this instance knows what there was to know of suspects when it started.
+    /// Notified when another request becomes held.
+    pub(crate) request_held: Notify,
+    /// Whether this instance has the suspects that were known to others when it started.
     pub(crate) knows_suspects: Cell<bool>,
     pub(crate) durable_store: Rc<dyn DurableStore>,
-    /// Endpoints that were looked at as their connections broke.
-    pub(crate) lookups: RefCell<Lookups>,
-    /// The requests whose sends are open here.
-    pub(crate) sends: RefCell<HashMap<WorkId, Fingerprint>>,
+    /// Recent connection probes of endpoints on which a request broke off.
+    pub(crate) probes: RefCell<EndpointProbes>,
+    /// Requests that are currently open on endpoints.
+    pub(crate) open_sends: RefCell<HashMap<WorkId, Fingerprint>>,
     pub(crate) metrics: Metrics,
-    pub(crate) http: ServiceConfig,
-    /// When a stop was asked for.
-    pub(crate) stopping: Cell<Option<Timestamp>>,
-    /// Told when it is.
-    pub(crate) stop_begun: Notify,
-    /// Requests that were read and have not ended.
-    pub(crate) open: Cell<usize>,
+    pub(crate) http_config: ServiceConfig,
+    /// When the stop of this instance was requested.
+    pub(crate) stopping_since: Cell<Option<Timestamp>>,
+    /// Notified when a stop is requested.
+    pub(crate) stop_started: Notify,
+    /// The number of requests that were read and have not ended.
+    pub(crate) open_requests: Cell<usize>,
     incarnation: u64,
-    work: Cell<u64>,
+    last_sequence: Cell<u64>,
 }
 
-/// A copy of the configuration older than this makes an instance not ready, so that the balancer
-/// prefers others; callers are owed nothing by an instance without contact for three seconds.
+/// With a configuration older than this the instance is not ready, so that the load balancer
+/// prefers other instances. An instance without contact to the store or its peers for three seconds
+/// is not expected to serve callers.
 const READY_AGE: Duration = Duration::from_millis(2_900);
 
 impl Node {
@@ -132,7 +133,7 @@
         cfg: RelayConfig,
         clock: Clock,
         dialect: Rc<dyn Dialect>,
-        decoder: Rc<dyn ConfigDecoder>,
+        config_decoder: Rc<dyn ConfigDecoder>,
         durable_store: Rc<dyn DurableStore>,
     ) -> Rc<Self> {
         let incarnation = rand::random();
@@ -144,151 +145,155 @@
             cfg: RefCell::new(cfg),
             clock,
             dialect,
-            decoder,
-            config_raw: RefCell::default(),
+            config_decoder,
+            encoded_config: RefCell::default(),
             config_cursor: Cell::default(),
-            handing: Cell::new(0),
+            active_copy_responses: Cell::new(0),
             replica: RefCell::default(),
             directory: RefCell::default(),
             load: RefCell::default(),
-            trust: RefCell::default(),
+            health: RefCell::default(),
             limits: RefCell::default(),
             backoffs: RefCell::default(),
             logged_signals: RefCell::default(),
-            places: RefCell::default(),
+            permits: RefCell::default(),
             budget: RefCell::new(budget),
             rng: RefCell::new(SmallRng::seed_from_u64(incarnation)),
             peers: RefCell::new(peers),
-            rows: RefCell::default(),
+            registry_records: RefCell::default(),
             outbox: RefCell::default(),
-            signals: Signals::default(),
-            link: OnceCell::new(),
-            pace_asks: RefCell::default(),
-            asks: RefCell::default(),
-            grants: RefCell::default(),
-            load_news: Notify::new(),
+            flush: FlushSignals::default(),
+            peer_socket: OnceCell::new(),
+            pace_queries: RefCell::default(),
+            placement_requests: RefCell::default(),
+            placement_grants: RefCell::default(),
+            load_changed: Notify::new(),
             store_lost: Notify::new(),
             store_lost_at: Cell::new(None),
-            store_regained: Notify::new(),
+            store_recovered: Notify::new(),
             store_read: Notify::new(),
             readers: RefCell::new(StoreReaders::new(incarnation)),
-            begins_to_read: Notify::new(),
-            ceases_to_read: Notify::new(),
+            started_reading: Notify::new(),
+            stopped_reading: Notify::new(),
             joined: Cell::new(false),
-            begun: Notify::new(),
-            config_news: Notify::new(),
-            endpoint_news: Notify::new(),
+            startup_progress: Notify::new(),
+            newer_config: Notify::new(),
+            newer_endpoints: Notify::new(),
             endpoints_cursor: Cell::default(),
             endpoint_ended: Notify::new(),
             endpoint_changes: RefCell::default(),
             quarantine: RefCell::default(),
-            held_news: Notify::new(),
+            request_held: Notify::new(),
             knows_suspects: Cell::new(false),
             durable_store,
-            lookups: RefCell::default(),
-            sends: RefCell::default(),
+            probes: RefCell::default(),
+            open_sends: RefCell::default(),
             metrics: Metrics::default(),
-            http: ServiceConfig::default(),
-            stopping: Cell::new(None),
-            stop_begun: Notify::new(),
-            open: Cell::new(0),
+            http_config: ServiceConfig::default(),
+            stopping_since: Cell::new(None),
+            stop_started: Notify::new(),
+            open_requests: Cell::new(0),
             incarnation,
-            work: Cell::new(0),
+            last_sequence: Cell::new(0),
         })
     }
 
-    /// This start's own number.
+    /// A random number that identifies this start of the process.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether new callers should come here.
+    /// Whether the load balancer should send new callers to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         let age = self.replica.borrow().age(self.clock.now());
-        let known = !self.directory.borrow().is_empty() && self.may_serve_unknown();
-        self.stopping.get().is_none() && known && age.is_some_and(|age| age < READY_AGE)
+        let known = !self.directory.borrow().is_empty() && self.may_serve_without_suspects();
+        self.stopping_since.get().is_none() && known && age.is_some_and(|age| age < READY_AGE)
     }
 
-    /// Whether there are a configuration that was proved current once, and endpoints.
-    pub(crate) fn has_begun(&self) -> bool {
+    /// Whether a configuration that was verified as current at least once, and endpoints, are
+    /// available.
+    pub(crate) fn has_initial_state(&self) -> bool {
         let proved = self.replica.borrow().proved_at().is_some();
-        proved && !self.directory.borrow().is_empty() && self.may_serve_unknown()
+        proved && !self.directory.borrow().is_empty() && self.may_serve_without_suspects()
     }
 
-    /// Whether suspects are known, or cannot be had in time: the store is away and no other instance knows.
-    fn may_serve_unknown(&self) -> bool {
+    /// Whether the suspects are known, or the wait for them is over because neither the store nor
+    /// another instance provides them.
+    fn may_serve_without_suspects(&self) -> bool {
         let waited = self.clock.now().since(self.clock.started_at());
-        self.knows_suspects.get() || waited >= LEARN_TIME
+        self.knows_suspects.get() || waited >= SUSPECTS_WAIT
     }
 
-    /// How much longer than alone an instance waits between calls to a lost store: one that reaches it
-    /// again tells all others.
-    pub(crate) fn fleet_backoff_factor(&self) -> f64 {
+    /// Factor by which this instance lengthens its delay between calls to an unavailable store. It
+    /// grows with the number of instances, as the first one to reach the store again informs all
+    /// others.
+    pub(crate) fn store_retry_factor(&self) -> f64 {
         fleet_backoff_factor(self.peers.borrow().instances(self.clock.now()))
     }
 
-    /// A name for new work.
-    pub(crate) fn next_work(&self) -> WorkId {
-        self.work.set(self.work.get() + 1);
-        WorkId { instance: self.incarnation, sequence: self.work.get() }
+    /// Allocates the id of a new send.
+    pub(crate) fn next_work_id(&self) -> WorkId {
+        self.last_sequence.set(self.last_sequence.get() + 1);
+        WorkId { instance: self.incarnation, sequence: self.last_sequence.get() }
     }
 
-    /// Whether this instance schedules for its data centre.
-    pub(crate) fn schedules(&self) -> bool {
+    /// Whether this instance is a scheduler of its data centre.
+    pub(crate) fn is_scheduler(&self) -> bool {
         self.peers.borrow().schedules()
     }
 
-    /// Notes that work has ended, however it did.
-    pub(crate) fn end(&self, id: WorkId) {
+    /// Records that a send has ended, whatever its outcome.
+    pub(crate) fn end_work(&self, id: WorkId) {
         self.load.borrow_mut().end(self.clock.now(), id);
         self.outbox.borrow_mut().ended.push(id);
-        self.signals.soon.notify_one();
+        self.flush.batched.notify_one();
     }
 
-    /// Counts a request as open until the guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>) -> Open {
-        self.open.set(self.open.get() + 1);
-        Open { node: self.clone() }
+    /// Counts a request as open until the returned guard is dropped.
+    pub(crate) fn track_request(self: &Rc<Self>) -> OpenRequest {
+        self.open_requests.set(self.open_requests.get() + 1);
+        OpenRequest { node: self.clone() }
     }
 }
 
-/// A send that is asked for, waits or runs. Dropping it takes it off the books of all instances.
-pub(crate) struct Placed {
+/// A send that waits for its placement, is queued or runs. Dropping it removes it from the load
+/// book of all instances.
+pub(crate) struct TrackedSend {
     node: Rc<Node>,
     pub(crate) id: WorkId,
-    /// Memory that is held for it.
-    pub(crate) memory: Option<HeldMemory>,
+    /// Memory that is reserved for it on engines.
+    pub(crate) memory: Option<MemoryReservations>,
 }
 
-impl Placed {
-    /// A send that is about to be asked for.
+impl TrackedSend {
+    /// Creates the record of a send that is about to be placed.
     pub(crate) fn new(node: Rc<Node>) -> Self {
-        let id = node.next_work();
+        let id = node.next_work_id();
         Self { node, id, memory: None }
     }
 
-    /// Notes that the prompt has been read.
-    pub(crate) fn first_event(&self) {
+    /// Records that the prompt has been prefilled.
+    pub(crate) fn note_first_event(&self) {
         self.node.load.borrow_mut().first_event(self.id);
         self.node.outbox.borrow_mut().writing.push(self.id);
-        self.node.signals.soon.notify_one();
+        self.node.flush.batched.notify_one();
     }
 }
 
-impl Drop for Placed {
+impl Drop for TrackedSend {
     fn drop(&mut self) {
-        self.node.sends.borrow_mut().remove(&self.id);
-        self.node.end(self.id);
+        self.node.open_sends.borrow_mut().remove(&self.id);
+        self.node.end_work(self.id);
     }
 }
 
-/// A request that was read. Dropping it counts it as ended.
-pub(crate) struct Open {
+/// Guard of a request that was read. Dropping it counts the request as ended.
+pub(crate) struct OpenRequest {
     node: Rc<Node>,
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.node.open.set(self.node.open.get() - 1);
+        self.node.open_requests.set(self.node.open_requests.get() - 1);
     }
 }
--- /dev/null
+++ b/crates/ringbend-relay/src/peer_copies.rs
@@ -0,0 +1,342 @@
+//! Exchange of the watched tables' copies between instances.
+//!
+//! One instance reads the store and the others fetch its copy from each other, so that the number
+//! of calls to the store does not grow with the number of instances. Copies are fetched over HTTP
+//! from the address and port on which an instance also receives datagrams, using TCP. A fetched
+//! copy is applied only if it is newer, and does not prove that it is current; only datagrams do.
+
+use std::convert::Infallible;
+use std::fmt;
+use std::net::SocketAddrV4;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use actix_http::body::{BodySize, MessageBody};
+use actix_http::header::{HOST, HeaderValue, InvalidHeaderValue};
+use actix_http::{ConnectionType, Method, RequestHead, Response, StatusCode, Uri};
+use bytes::Bytes;
+use futures_util::future::LocalBoxFuture;
+use rand::Rng;
+use rand::seq::IndexedRandom;
+use ringbend_gateway::{ConfigVersion, CopyVersions, Endpoint, EndpointChange};
+use ringbend_runtime::{Handler, HttpRequest, HttpResponse, empty};
+use ringbend_types::Timestamp;
+use ringbend_wire::{
+    self as wire, EndpointChanges, Message, WireError, decode_endpoint_change,
+    encode_endpoint_change,
+};
+
+use crate::exchange::{self, ExchangeError};
+use crate::node::Node;
+use crate::ports::{Cursor, InvalidRow};
+use crate::table_copies::{ConfigCopy, EndpointCopy};
+use crate::watch::TableCopy;
+
+/// Path of the configuration.
+const CONFIG_PATH: &str = "/copies/config";
+
+/// Path of the endpoints.
+const ENDPOINTS_PATH: &str = "/copies/endpoints";
+
+/// Maximum number of copies served at once. A large configuration takes a while over a slow link,
+/// and instances that already have it can serve it as well.
+const MAX_COPY_RESPONSES: usize = 4;
+
+/// Maximum size of a copy, in bytes; the store's rows are smaller.
+const MAX_COPY_BYTES: usize = 4 << 20;
+
+/// How long a copy is sought among peers before the store is read; less than half of the time
+/// within which a configuration must be active.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// Timeout of a fetch from one peer: a hundred kilobytes take 160 ms over a shared link of 20
+/// Mbit/s.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(350);
+
+/// Maximum delay between two attempts to fetch from peers.
+const MAX_RETRY_DELAY_MS: u64 = 40;
+
+/// How long a starting instance waits to hear of peers with copies, in milliseconds. The time is
+/// random, so that only a few of many instances that start together read the store.
+const START_WAIT_MS: std::ops::Range<u64> = 4..60;
+
+/// How long a starting instance waits at most for the search for other instances: a slow store
+/// takes a third of a second to return them.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// How long a member waits for copies before it reads the store itself.
+const MEMBER_WAIT: Duration = Duration::from_millis(800);
+
+/// Serves copies to other instances.
+pub(crate) struct CopyServer {
+    pub(crate) node: Rc<Node>,
+}
+
+/// Maximum chunk size when a copy is written, in bytes.
+const CHUNK_BYTES: usize = 16 << 10;
+
+/// The body of a response with a copy; counted as active until it has been written.
+struct CopyBody {
+    node: Rc<Node>,
+    remaining: Bytes,
+}
+
+impl CopyBody {
+    fn new(node: Rc<Node>, remaining: Bytes) -> Self {
+        node.active_copy_responses.set(node.active_copy_responses.get() + 1);
+        Self { node, remaining }
+    }
+}
+
+impl Drop for CopyBody {
+    fn drop(&mut self) {
+        self.node.active_copy_responses.set(self.node.active_copy_responses.get() - 1);
+    }
+}
+
+impl MessageBody for CopyBody {
+    type Error = Infallible;
+
+    fn size(&self) -> BodySize {
+        BodySize::Sized(self.remaining.len() as u64)
+    }
+
+    fn poll_next(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, Infallible>>> {
+        let size = self.remaining.len().min(CHUNK_BYTES);
+        let chunk = self.remaining.split_to(size);
+        Poll::Ready((size > 0).then_some(Ok(chunk)))
+    }
+}
+
+impl Handler for CopyServer {
+    fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
+        Box::pin(std::future::ready(self.respond(req.head().uri.path())))
+    }
+}
+
+impl CopyServer {
+    fn respond(&self, path: &str) -> HttpResponse {
+        if self.node.active_copy_responses.get() >= MAX_COPY_RESPONSES {
+            return empty(StatusCode::SERVICE_UNAVAILABLE);
+        }
+        let copy = match path {
+            CONFIG_PATH => config_copy(&self.node),
+            ENDPOINTS_PATH => Some(endpoints_copy(&self.node)),
+            _ => return empty(StatusCode::NOT_FOUND),
+        };
+        let Some(copy) = copy else { return empty(StatusCode::SERVICE_UNAVAILABLE) };
+        let body = CopyBody::new(self.node.clone(), copy);
+        Response::with_body(StatusCode::OK, body.boxed())
+    }
+}
+
+/// `None` while a later configuration is unreadable: the cursor would make the receiver skip that
+/// one.
+fn config_copy(node: &Node) -> Option<Bytes> {
+    if node.replica.borrow().has_unreadable() {
+        return None;
+    }
+    let row = node.encoded_config.borrow().as_ref()?.to_vec();
+    let cursor = node.config_cursor.get().0;
+    Some(wire::ConfigCopy { row, cursor }.encode_to_vec().into())
+}
+
+fn endpoints_copy(node: &Node) -> Bytes {
+    let directory = node.directory.borrow();
+    let rows =
+        directory.registered().map(|e| encode_endpoint_change(&EndpointChange::Present(e.clone())));
+    let to_cursor = node.endpoints_cursor.get().0;
+    EndpointChanges { from_cursor: 0, to_cursor, rows: rows.collect() }.encode_to_vec().into()
+}
+
+fn has_newer_config(node: &Node, holds: CopyVersions) -> bool {
+    holds.config > node.replica.borrow().version().unwrap_or_default()
+}
+
+fn has_newer_endpoints(node: &Node, holds: CopyVersions) -> bool {
+    Cursor(holds.endpoints) > node.endpoints_cursor.get()
+}
+
+/// Waits until a peer is known to have a newer configuration.
+pub(crate) async fn newer_config(node: &Node) {
+    while peers_with(node, |holds| has_newer_config(node, holds)).is_empty() {
+        node.newer_config.notified().await;
+    }
+}
+
+/// Waits until a peer is known to have newer endpoints.
+pub(crate) async fn newer_endpoints(node: &Node) {
+    while peers_with(node, |holds| has_newer_endpoints(node, holds)).is_empty() {
+        node.newer_endpoints.notified().await;
+    }
+}
+
+/// Fetches newer configurations from peers. Returns false if there is one that could not be fetched
+/// in time.
+pub(crate) async fn config(node: &Node) -> bool {
+    let wanted = |holds| has_newer_config(node, holds);
+    fetch_from_peers(node, wanted, async |peer| fetch_config_from(node, peer).await).await
+}
+
+/// Fetches newer endpoints from peers. Returns false if there are some that could not be fetched in
+/// time.
+pub(crate) async fn endpoints(node: &Node) -> bool {
+    let wanted = |holds| has_newer_endpoints(node, holds);
+    fetch_from_peers(node, wanted, async |peer| fetch_endpoints_from(node, peer).await).await
+}
+
+/// Fetches the first configuration from a peer, if one that has any becomes known soon.
+pub(crate) async fn first_config(node: &Node) -> bool {
+    wait_for_peer_with_copy(node, |holds| holds.config > ConfigVersion(0)).await
+        && config(node).await
+        && node.config_cursor.get() > Cursor::default()
+}
+
+/// Fetches the first endpoints from a peer, if one that has any becomes known soon.
+pub(crate) async fn first_endpoints(node: &Node) -> bool {
+    wait_for_peer_with_copy(node, |holds| holds.endpoints > 0).await
+        && endpoints(node).await
+        && node.endpoints_cursor.get() > Cursor::default()
+}
+
+fn peers_with(node: &Node, wanted: impl Fn(CopyVersions) -> bool) -> Vec<SocketAddrV4> {
+    node.peers.borrow().holders(node.clock.now(), wanted)
+}
+
+fn pick(node: &Node, from: Vec<SocketAddrV4>) -> Option<SocketAddrV4> {
+    from.choose(&mut *node.rng.borrow_mut()).copied()
+}
+
+/// Waits until an instance that has a wanted copy becomes known. The wait continues at least until
+/// the search for other instances has ended. A member waits longer, so that schedulers read the
+/// store first.
+async fn wait_for_peer_with_copy(node: &Node, wanted: impl Fn(CopyVersions) -> bool) -> bool {
+    let started_at = node.clock.now();
+    let wait = node.rng.borrow_mut().random_range(START_WAIT_MS);
+    let mut joined_at = None;
+    while peers_with(node, &wanted).is_empty() {
+        let now = node.clock.now();
+        if node.joined.get() {
+            joined_at.get_or_insert(now);
+        }
+        let waited = now.since(joined_at.unwrap_or(started_at));
+        let max_wait = match joined_at {
+            None => JOIN_TIMEOUT,
+            Some(_) if node.is_scheduler() => Duration::from_millis(wait),
+            Some(_) => MEMBER_WAIT,
+        };
+        if waited >= max_wait {
+            return false;
+        }
+        wait_before_retry(node).await;
+    }
+    true
+}
+
+async fn wait_before_retry(node: &Node) {
+    let delay_ms = node.rng.borrow_mut().random_range(MAX_RETRY_DELAY_MS / 4..MAX_RETRY_DELAY_MS);
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+}
+
+/// Tries peers with a wanted copy until one serves it. Returns true once no further copy is wanted.
+async fn fetch_from_peers(
+    node: &Node,
+    wanted: impl Fn(CopyVersions) -> bool,
+    fetch: impl AsyncFn(SocketAddrV4) -> Result<(), CopyError>,
+) -> bool {
+    let until: Timestamp = node.clock.now() + FETCH_TIMEOUT;
+    while let Some(peer) = pick(node, peers_with(node, &wanted)) {
+        let left = until.since(node.clock.now());
+        let result = tokio::time::timeout(left.min(TRANSFER_TIMEOUT), fetch(peer))
+            .await
+            .unwrap_or(Err(CopyError::Late));
+        match result {
+            Ok(()) => continue,
+            Err(why) => log::info!(target: "peers", peer:%, why:%; "cannot fetch copy from peer"),
+        }
+        if node.clock.now() >= until {
+            return false;
+        }
+        wait_before_retry(node).await;
+    }
+    true
+}
+
+/// Why a copy could not be fetched from a peer.
+#[derive(Debug)]
+enum CopyError {
+    /// No response in time.
+    Late,
+    /// The response is incomplete.
+    Exchange(ExchangeError),
+    /// The peer's address is not a valid header value.
+    Address(InvalidHeaderValue),
+    /// The peer cannot serve a copy now.
+    Refused(StatusCode),
+    /// The configuration cannot be decoded.
+    Config(InvalidRow),
+    /// The message or one of its rows cannot be decoded.
+    Decode(WireError),
+}
+
+impl fmt::Display for CopyError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Late => write!(f, "timed out"),
+            Self::Exchange(e) => e.fmt(f),
+            Self::Address(e) => write!(f, "invalid peer address: {e}"),
+            Self::Refused(status) => write!(f, "refused with status {status}"),
+            Self::Config(row) => write!(f, "cannot decode the configuration: {}", row.reason),
+            Self::Decode(e) => write!(f, "cannot decode the copy: {e}"),
+        }
+    }
+}
+
+impl std::error::Error for CopyError {}
+
+async fn get(node: &Node, peer: SocketAddrV4, path: &'static str) -> Result<Bytes, CopyError> {
+    let mut head = RequestHead::default();
+    head.method = Method::GET;
+    head.uri = Uri::from_static(path);
+    head.headers
+        .insert(HOST, HeaderValue::from_str(&peer.to_string()).map_err(CopyError::Address)?);
+    head.set_connection_type(ConnectionType::Close);
+    let sent = exchange::send(&node.http_config, peer, head, Bytes::new()).await;
+    let mut incoming = sent.map_err(CopyError::Exchange)?;
+    if incoming.head.status != StatusCode::OK {
+        return Err(CopyError::Refused(incoming.head.status));
+    }
+    incoming.read_to_end(MAX_COPY_BYTES).await.map_err(CopyError::Exchange)
+}
+
+async fn fetch_config_from(node: &Node, peer: SocketAddrV4) -> Result<(), CopyError> {
+    let raw = get(node, peer, CONFIG_PATH).await?;
+    let copy = wire::ConfigCopy::decode(raw).map_err(|e| CopyError::Decode(e.into()))?;
+    let item = node.config_decoder.decode(copy.row.into()).map_err(CopyError::Config)?;
+    log::info!(target: "peers", peer:%, version = item.parts.version.0; "configuration fetched from peer");
+    ConfigCopy.apply(node, vec![item], Cursor(copy.cursor));
+    // A copy proves nothing. The peer's message that it is current arrived before the copy, and
+    // would be repeated only with the next heartbeat.
+    node.send_hello(peer);
+    Ok(())
+}
+
+async fn fetch_endpoints_from(node: &Node, peer: SocketAddrV4) -> Result<(), CopyError> {
+    let raw = get(node, peer, ENDPOINTS_PATH).await?;
+    let copy = EndpointChanges::decode(raw).map_err(|e| CopyError::Decode(e.into()))?;
+    let endpoint = |row| match decode_endpoint_change(row)? {
+        EndpointChange::Present(endpoint) => Ok(Some(endpoint)),
+        EndpointChange::Gone(_) | EndpointChange::Unreadable(_) => Ok(None),
+    };
+    let rows: Result<Vec<Option<Endpoint>>, WireError> = copy.rows.iter().map(endpoint).collect();
+    let rows = rows.map_err(CopyError::Decode)?.into_iter().flatten().collect();
+    if Cursor(copy.to_cursor) > node.endpoints_cursor.get() {
+        EndpointCopy.replace(node, rows, Cursor(copy.to_cursor));
+    }
+    Ok(())
+}
--- a/crates/ringbend-relay/src/link.rs
+++ b/crates/ringbend-relay/src/peer_socket.rs
@@ -1,4 +1,4 @@
-//! The datagrams between instances: how they are sent, and what each begins with.
+//! The datagram socket for peer traffic, and the common part of all digests.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -9,30 +9,30 @@
 use tokio::sync::Notify;
 
 use crate::node::Node;
-use crate::relayed::currency;
+use crate::table_gossip::currency;
 
-/// How long the end of a request may wait to be told together with others. New work is told at once.
-pub(crate) const GATHER: Duration = Duration::from_millis(15);
+/// How long the end of a request may be delayed to batch it with others. New work is sent at once.
+pub(crate) const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// The longest datagram that is read, in bytes.
+/// Maximum size of a received datagram, in bytes.
 pub(crate) const MAX_DATAGRAM: usize = 16 << 10;
 
-/// Wakes the sender.
+/// Wakes the gossip sender.
 #[derive(Default)]
-pub(crate) struct Signals {
+pub(crate) struct FlushSignals {
     /// New work was placed.
-    pub(crate) now: Notify,
-    /// Work has begun to write or ended.
-    pub(crate) soon: Notify,
+    pub(crate) immediate: Notify,
+    /// Work has started to write or has ended.
+    pub(crate) batched: Notify,
 }
 
-/// The socket for datagrams to all other instances.
-pub(crate) struct Link {
+/// The socket for datagrams to and from all other instances.
+pub(crate) struct PeerSocket {
     pub(crate) socket: Rc<UdpSocket>,
     pub(crate) address: SocketAddrV4,
 }
 
-impl Link {
+impl PeerSocket {
     pub(crate) async fn open(address: SocketAddrV4) -> std::io::Result<Self> {
         let socket = Rc::new(UdpSocket::bind(address).await?);
         let address = SocketAddrV4::new(*address.ip(), socket.local_addr()?.port());
@@ -41,12 +41,13 @@
 }
 
 impl Node {
-    /// Where this instance hears others; none where load is not shared.
+    /// The address on which this instance receives peer traffic; `None` without a configured peer
+    /// address.
     pub(crate) fn peers_address(&self) -> Option<SocketAddrV4> {
-        self.link.get().map(|link| link.address)
+        self.peer_socket.get().map(|peer_socket| peer_socket.address)
     }
 
-    /// What each digest begins with.
+    /// The common part of all digests.
     pub(crate) fn digest(&self) -> LoadDigest {
         let now = self.clock.now();
         let peers = self.peers.borrow();
@@ -61,46 +62,49 @@
         }
     }
 
-    /// A digest that tells what this instance is.
+    /// A digest that describes this instance.
     pub(crate) fn introduction(&self) -> LoadDigest {
         let cfg = self.cfg.borrow();
         let (data_centre, capacity) = (cfg.data_centre.to_string(), cfg.capacity());
         LoadDigest { data_centre, capacity, ..self.digest() }
     }
 
-    /// Greets instances that are said to be at these addresses and are not heard.
+    /// Greets the instances at these addresses, unless they are known already.
     pub(crate) fn greet(&self, addresses: &[SocketAddrV4]) {
         let now = self.clock.now();
         let own = self.peers_address();
         let others = addresses.iter().copied().filter(|address| Some(*address) != own);
         for address in others {
             if self.peers.borrow_mut().begin_greeting(now, address) {
-                self.say_hello(address);
+                self.send_hello(address);
             }
         }
     }
 
-    /// Tells one instance that this one is there, and asks who else is.
-    pub(crate) fn say_hello(&self, address: SocketAddrV4) {
-        self.tell(&LoadDigest { hello: true, ..self.introduction() }, address);
+    /// Announces this instance to another one, and asks it for further instances.
+    pub(crate) fn send_hello(&self, address: SocketAddrV4) {
+        self.send_digest(&LoadDigest { hello: true, ..self.introduction() }, address);
     }
 
-    pub(crate) fn tell(&self, digest: &LoadDigest, address: SocketAddrV4) {
-        let Some(link) = self.link.get() else { return };
+    pub(crate) fn send_digest(&self, digest: &LoadDigest, address: SocketAddrV4) {
+        let Some(peer_socket) = self.peer_socket.get() else { return };
         let bytes = digest.encode_to_vec();
-        match link.socket.try_send_to(&bytes, address.into()) {
+        match peer_socket.socket.try_send_to(&bytes, address.into()) {
             Ok(sent) => self.metrics.peer_bytes(sent as u64),
-            // A full link or a dead peer: the digest is a hint and goes without.
-            Err(e) => log::debug!(target: "peers", peer:% = address, error:% = e; "not told"),
+            // The socket's buffer is full or the peer is dead. Digests are hints, so this one is
+            // dropped.
+            Err(e) => {
+                log::debug!(target: "peers", peer:% = address, error:% = e; "digest not sent")
+            }
         }
     }
 
-    pub(crate) fn tell_all(
+    pub(crate) fn send_digest_to_all(
         &self,
         digest: &LoadDigest,
         addresses: impl IntoIterator<Item = SocketAddrV4>,
     ) {
-        addresses.into_iter().for_each(|address| self.tell(digest, address));
+        addresses.into_iter().for_each(|address| self.send_digest(digest, address));
     }
 }
 
--- a/crates/ringbend-relay/src/placing.rs
+++ b/crates/ringbend-relay/src/placement.rs
@@ -1,4 +1,4 @@
-//! Where a request is put: the choice of endpoints and its work on the load book.
+//! Placement of requests: the choice of endpoints and its entry in the load book.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -11,155 +11,164 @@
 };
 use ringbend_types::{EndpointId, Timestamp};
 
-use crate::fields::Millis;
+use crate::log_fields::Millis;
 use crate::node::Node;
-use crate::places::Closed;
+use crate::permits::ClosedEndpoints;
 
-/// How long an instance that has just started listens for others before it takes itself for the only
-/// one. A read of the store, which may take a third of a second when it is slow, tells of them.
-const LISTEN_TIME: Duration = Duration::from_millis(400);
+/// How long an instance that has just started waits for other instances before it assumes that it
+/// is the only one. It finds them by reading the store, which takes up to a third of a second if
+/// the store is slow.
+const DISCOVERY_TIME: Duration = Duration::from_millis(400);
 
 /// Why a request was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Denied {
-    /// Its time is up before its turn came.
-    NoTurn,
-    /// No endpoint was left to send to.
+pub(crate) enum PlacementError {
+    /// The deadline passed before the request's turn came.
+    TurnExpired,
+    /// No eligible endpoint was left.
     NoEndpoint,
-    /// The request ends endpoints.
+    /// The request is held because it crashes endpoints.
     Held,
-    /// The request may end endpoints, and no instance that places such ones answers.
+    /// The request may crash endpoints, and no arbiter is available to place it.
     NoArbiter,
-    /// Endpoints that are left name limits, and have no place for it before this time.
+    /// All remaining endpoints are rate-limited and have no permit before this time.
     Limited(Duration),
-    /// This instance was asked to count the places of such endpoints, and does not.
-    NotHere,
+    /// This instance was asked as the limit coordinator, but is not.
+    NotCoordinator,
 }
 
 /// Why a request could not be placed at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Unplaced {
-    /// No endpoint was left to send to.
+pub(crate) enum NotPlaced {
+    /// No eligible endpoint was left.
     NoEndpoint,
-    /// It takes a place of an endpoint that names a limit: it waits for one, where they are counted.
-    Elsewhere,
+    /// The remaining endpoints are rate-limited, so the request waits for a permit from the limit
+    /// coordinator.
+    MustWait,
 }
 
-/// Who decides where a request goes that takes a place of an endpoint which names a limit.
+/// Which instance places a request that needs a permit of a rate-limited endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Counted {
-    /// The one instance that counts such places.
-    ByOne,
-    /// This instance was asked as that one.
-    Here,
+pub(crate) enum PermitAuthority {
+    /// The limit coordinator, whichever instance that is.
+    Coordinator,
+    /// This instance, as it was asked as the limit coordinator.
+    Local,
 }
 
 impl Node {
-    /// Places a request: asks those that schedule, or decides here if this instance does, or if none
-    /// of them answers.
+    /// Places a request. A member asks the schedulers and decides itself only if none of them
+    /// replies.
     pub(crate) async fn schedule(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-    ) -> Result<Placement, Denied> {
-        if let Some(of) = job.suspect {
-            return self.schedule_suspect(id, job, engine, of).await;
+    ) -> Result<Placement, PlacementError> {
+        if let Some(fingerprint) = job.suspect {
+            return self.schedule_suspect(id, job, engine, fingerprint).await;
         }
-        if self.schedules() {
-            return self.plan(id, job, engine).await;
+        if self.is_scheduler() {
+            return self.place_or_delegate(id, job, engine).await;
         }
-        if let Some(placed) = self.ask_for_placement(id, job, Peers::scheduler).await {
+        if let Some(placed) = self.request_admissible_placement(id, job, Peers::scheduler).await {
             return placed;
         }
-        log::info!(target: "request", id = job.request.as_ref(); "placed without schedulers");
-        self.place_in_turn(id, job, engine, Counted::ByOne).await
+        log::info!(target: "request", id = job.request.as_ref(); "placing without a scheduler");
+        self.place_when_due(id, job, engine, PermitAuthority::Coordinator).await
     }
 
-    /// Asks a scheduler; none if it does not answer, or places the request where this instance knows that it may not
-    /// be sent.
-    async fn ask_for_placement(
+    /// Asks a scheduler. `None` if it does not reply, or if it chose an endpoint that this instance
+    /// knows to accept no requests.
+    async fn request_admissible_placement(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         next: impl Fn(&Peers, Timestamp, &[SocketAddrV4]) -> Option<SocketAddrV4>,
-    ) -> Option<Result<Placement, Denied>> {
-        let placed = self.ask(id, job, next).await?;
+    ) -> Option<Result<Placement, PlacementError>> {
+        let placed = self.request_placement(id, job, next).await?;
         let placement = placed.as_ref().ok();
         let rejected = placement.and_then(|placement| self.inadmissible(job, placement));
         let Some((endpoint, why)) = rejected else { return Some(placed) };
         log::info!(
             target: "request", id = job.request.as_ref(), endpoint:%, why:%;
-            "scheduled onto an endpoint that takes no requests; placing here"
+            "scheduler chose an endpoint that accepts no requests; placing locally"
         );
         self.metrics.inadmissible();
         self.load.borrow_mut().end(self.clock.now(), id);
         None
     }
 
-    /// Has a long prompt placed by the scheduler that plans all those of its service; places any other
-    /// here, and it too if that one does not answer.
-    pub(crate) async fn plan(
+    /// Has a long prompt placed by the scheduler that plans all long prompts of the service. All
+    /// other requests, and the long prompt if that scheduler does not reply, are placed here.
+    pub(crate) async fn place_or_delegate(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-    ) -> Result<Placement, Denied> {
+    ) -> Result<Placement, PlacementError> {
         if !job.at_once && self.is_long(job, engine) {
             let planner = |peers: &Peers, now, asked: &[SocketAddrV4]| {
                 peers.planner(now, &job.service, asked)
             };
-            if let Some(placed) = self.ask_for_placement(id, job, planner).await {
+            if let Some(placed) = self.request_admissible_placement(id, job, planner).await {
                 return placed;
             }
         }
-        self.place_in_turn(id, job, engine, Counted::ByOne).await
+        self.place_when_due(id, job, engine, PermitAuthority::Coordinator).await
     }
 
-    /// Waits for a request's turn, chooses endpoints and puts its work on the book.
-    pub(crate) async fn place_in_turn(
+    /// Waits for the request's turn, chooses endpoints and records the placement.
+    pub(crate) async fn place_when_due(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-        counted: Counted,
-    ) -> Result<Placement, Denied> {
+        authority: PermitAuthority,
+    ) -> Result<Placement, PlacementError> {
         self.wait_for_turn(id, job, engine).await?;
-        match self.place_now(id, job, engine) {
+        match self.try_place(id, job, engine) {
             Ok(placement) => Ok(placement),
-            Err(Unplaced::NoEndpoint) => Err(Denied::NoEndpoint),
-            Err(Unplaced::Elsewhere) => self.place_where_counted(id, job, engine, counted).await,
+            Err(NotPlaced::NoEndpoint) => Err(PlacementError::NoEndpoint),
+            Err(NotPlaced::MustWait) => {
+                self.place_via_coordinator(id, job, engine, authority).await
+            }
         }
     }
 
-    /// Chooses endpoints, puts the work on the book and tells other schedulers of it.
-    pub(crate) fn place_now(
+    /// Chooses endpoints, records the placement and reports it to other schedulers.
+    pub(crate) fn try_place(
         &self,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-    ) -> Result<Placement, Unplaced> {
-        let closed = self.closed_to(id, job);
-        let Some(placement) = self.choose(job, engine, &closed) else {
-            return Err(if closed.is_empty() { Unplaced::NoEndpoint } else { Unplaced::Elsewhere });
+    ) -> Result<Placement, NotPlaced> {
+        let closed = self.endpoints_without_permit(id, job);
+        let Some(placement) = self.choose_endpoints(job, engine, &closed) else {
+            return Err(if closed.is_empty() {
+                NotPlaced::NoEndpoint
+            } else {
+                NotPlaced::MustWait
+            });
         };
-        self.take_place(job, &placement)?;
-        Ok(self.commit(id, job, engine, placement))
+        self.take_permit(job, &placement)?;
+        Ok(self.record_placement(id, job, engine, placement))
     }
 
-    /// The same on endpoints that name no limit; none if there is none.
-    pub(crate) fn place_unlimited(
+    /// Like [`Self::try_place`], on endpoints without a rate limit; `None` if there is none.
+    pub(crate) fn place_on_unlimited(
         &self,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
     ) -> Option<Placement> {
-        let placement = self.choose(job, engine, &self.limited(&job.service))?;
-        Some(self.commit(id, job, engine, placement))
+        let placement =
+            self.choose_endpoints(job, engine, &self.rate_limited_endpoints(&job.service))?;
+        Some(self.record_placement(id, job, engine, placement))
     }
 
-    /// Puts placed work on the book and tells other schedulers of it.
-    fn commit(
+    /// Adds the work to the load book and reports it to other schedulers.
+    fn record_placement(
         &self,
         id: WorkId,
         job: &Job,
@@ -170,7 +179,7 @@
         let work = job.work(&self.cfg.borrow().placement, &placement, long);
         self.load.borrow_mut().place(self.clock.now(), id, work);
         self.outbox.borrow_mut().placed.push(id);
-        self.signals.now.notify_one();
+        self.flush.immediate.notify_one();
         placement
     }
 
@@ -180,11 +189,12 @@
         engine.is_some_and(|(e, demand)| is_long(&self.cfg.borrow().placement, e, demand))
     }
 
-    /// Decides with what is known of the service's endpoints now, but for those that are closed.
-    pub(crate) fn decide<T>(
+    /// Evaluates `with` on the current state of the service's endpoints, without those that are
+    /// closed to the request.
+    pub(crate) fn with_view<T>(
         &self,
         job: &Job,
-        closed: &Closed,
+        closed: &ClosedEndpoints,
         with: impl FnOnce(FleetView<'_>, &[&Endpoint]) -> T,
     ) -> T {
         let now = self.clock.now();
@@ -195,11 +205,11 @@
         let is_open = |e: &&Endpoint| !is_closed(e) && self.may_run_on(job, e);
         let candidates: Vec<&Endpoint> = all.filter(is_open).collect();
         let limits = self.limits.borrow();
-        let (cfg, load, trust) = (self.cfg.borrow(), self.load.borrow(), self.trust.borrow());
-        let (schedules, instances) = (self.schedules(), self.peers.borrow().instances(now));
-        // Where others schedule, the book here misses what they place.
-        let alone = !schedules || instances <= 1;
-        let is_new = now.since(self.clock.started_at()) < LISTEN_TIME;
+        let (cfg, load, health) = (self.cfg.borrow(), self.load.borrow(), self.health.borrow());
+        let (is_scheduler, instances) = (self.is_scheduler(), self.peers.borrow().instances(now));
+        // If other instances schedule, this instance's load book lacks their placements.
+        let alone = !is_scheduler || instances <= 1;
+        let is_new = now.since(self.clock.started_at()) < DISCOVERY_TIME;
         let view = FleetView {
             now,
             home: &cfg.data_centre,
@@ -207,7 +217,7 @@
             spread_seed: alone.then(|| self.rng.borrow_mut().random()),
             starting: instances <= 1 && is_new,
             weights: &cfg.placement,
-            health: &trust,
+            health: &health,
             tried: &job.tried,
             is_suspect: job.suspect.is_some(),
             limits: &limits,
@@ -215,14 +225,14 @@
         with(view, &candidates)
     }
 
-    /// Picks endpoints and writes the line of that decision.
-    fn choose(
+    /// Chooses endpoints and logs the decision.
+    fn choose_endpoints(
         &self,
         job: &Job,
         engine: Option<EngineProfile>,
-        closed: &Closed,
+        closed: &ClosedEndpoints,
     ) -> Option<Placement> {
-        let (placement, candidates) = self.decide(job, closed, |view, candidates| {
+        let (placement, candidates) = self.with_view(job, closed, |view, candidates| {
             let placement = match (engine, job.demand) {
                 (Some(engine), Some(demand)) => {
                     place_on_engines(view, &engine, candidates, &job.goal(view.now, demand))
@@ -233,12 +243,12 @@
         })?;
         let load = self.load.borrow();
         let lead = load.of(&placement.lead);
-        self.log_choice(self.clock.now(), job, engine, &placement, lead, candidates);
+        self.log_placement(self.clock.now(), job, engine, &placement, lead, candidates);
         Some(placement)
     }
 
-    /// Writes the line of a choice: what it was made from, and what it expects.
-    fn log_choice(
+    /// Logs a placement with the state it was decided on and the expected result.
+    fn log_placement(
         &self,
         now: Timestamp,
         job: &Job,
--- a/crates/ringbend-relay/src/asking.rs
+++ b/crates/ringbend-relay/src/placement_requests.rs
@@ -1,4 +1,4 @@
-//! Asks schedulers of this data centre where a request goes.
+//! Member side of placement: asks schedulers of this data centre to place a request.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -12,36 +12,36 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use crate::node::Node;
-use crate::placing::Denied;
+use crate::placement::PlacementError;
 
-/// How long a scheduler may take to answer. A trip there and back takes a fifth of a millisecond, and
-/// a decision some tenths; one whose processor time is used up goes on within a tenth of a second.
-/// A third of the tightest aims.
-const ANSWER_TIME: Duration = Duration::from_millis(40);
+/// How long a scheduler may take to reply, a third of the tightest target times to the first event.
+/// A round trip takes a fifth of a millisecond and a decision a few tenths; a scheduler that has
+/// used up its processor quota resumes within a tenth of a second.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// How long an ask that waits for its turn is not asked again: its answer may have been lost, and its
-/// scheduler too.
-const QUEUED_LOOK: Duration = Duration::from_millis(150);
+/// Interval at which a queued placement request is sent again, as the reply or the scheduler itself
+/// may have been lost.
+const QUEUED_RESEND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The most schedulers that are asked for one request. After that it is placed with what is known
-/// here, while it can still be in time.
-const MOST_ASKED: usize = 2;
+/// Maximum number of schedulers asked for one request. After that this instance places the request
+/// itself, while it can still be in time.
+const MAX_SCHEDULERS_ASKED: usize = 2;
 
-/// What schedulers were asked and have not answered.
+/// Placement requests that have no reply yet.
 #[derive(Default)]
-pub(crate) struct Asks {
+pub(crate) struct PlacementRequests {
     open: HashMap<WorkId, UnboundedSender<Grant>>,
 }
 
-impl Asks {
-    /// The requests that are asked for.
+impl PlacementRequests {
+    /// The ids of all pending placement requests.
     pub(crate) fn open(&self) -> impl Iterator<Item = WorkId> + '_ {
         self.open.keys().copied()
     }
 
-    /// Takes in an answer. One that nobody waits for any more is left out: whoever asked was answered
-    /// by another scheduler or has left.
-    pub(crate) fn answer(&self, own: u64, grant: &Grant) {
+    /// Delivers a reply. Replies to requests that are no longer pending are dropped: another
+    /// scheduler has replied, or the caller has disconnected.
+    pub(crate) fn deliver(&self, own: u64, grant: &Grant) {
         let id = WorkId { instance: grant.owner.unwrap_or(own), sequence: grant.sequence };
         if let Some(tx) = self.open.get(&id) {
             drop(tx.send(grant.clone()));
@@ -49,32 +49,33 @@
     }
 }
 
-/// One ask; dropping it ends it.
-struct Open {
+/// A pending placement request; dropping it withdraws the request.
+struct PendingRequest {
     node: Rc<Node>,
     id: WorkId,
     rx: UnboundedReceiver<Grant>,
 }
 
-impl Open {
+impl PendingRequest {
     fn new(node: Rc<Node>, id: WorkId) -> Self {
         let (tx, rx) = unbounded_channel();
-        node.asks.borrow_mut().open.insert(id, tx);
+        node.placement_requests.borrow_mut().open.insert(id, tx);
         Self { node, id, rx }
     }
 
     fn send(&self, scheduler: SocketAddrV4, job: &Job) {
         let owner = Some(self.id.instance).filter(|owner| *owner != self.node.incarnation());
         let ask = Ask { owner, ..encode_ask(self.node.clock.now(), self.id, job) };
-        self.node.tell(&LoadDigest { asks: vec![ask], ..self.node.digest() }, scheduler);
+        self.node.send_digest(&LoadDigest { asks: vec![ask], ..self.node.digest() }, scheduler);
     }
 
-    /// Asks one scheduler and waits for its word; none if it is silent or does not schedule.
-    async fn verdict(&mut self, scheduler: SocketAddrV4, job: &Job) -> Option<Grant> {
+    /// Asks one scheduler and waits for its decision. `None` if it does not reply or is not a
+    /// scheduler.
+    async fn await_decision(&mut self, scheduler: SocketAddrV4, job: &Job) -> Option<Grant> {
         self.send(scheduler, job);
         let mut is_queued = false;
         loop {
-            let time = if is_queued { QUEUED_LOOK } else { ANSWER_TIME };
+            let time = if is_queued { QUEUED_RESEND_INTERVAL } else { GRANT_TIMEOUT };
             match tokio::time::timeout(time, self.rx.recv()).await {
                 Ok(Some(grant)) => match grant.verdict() {
                     Verdict::Queued => is_queued = true,
@@ -89,7 +90,7 @@
                 Err(_) => {
                     log::info!(
                         target: "peers", request = job.request.as_ref(), scheduler:% = scheduler;
-                        "scheduler is silent"
+                        "scheduler did not reply"
                     );
                     self.node
                         .peers
@@ -102,63 +103,63 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        self.node.asks.borrow_mut().open.remove(&self.id);
+        self.node.placement_requests.borrow_mut().open.remove(&self.id);
     }
 }
 
 impl Node {
-    /// Asks schedulers where a request goes; none if there are none or they do not answer. `next` names
-    /// the one to ask, but for those that were asked.
-    pub(crate) async fn ask(
+    /// Asks schedulers to place a request. `None` if there are none or they do not reply. `next`
+    /// selects the scheduler to ask, given those that were asked before.
+    pub(crate) async fn request_placement(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         next: impl Fn(&Peers, Timestamp, &[SocketAddrV4]) -> Option<SocketAddrV4>,
-    ) -> Option<Result<Placement, Denied>> {
-        let mut open = Open::new(self.clone(), id);
-        let mut asked: SmallVec<[SocketAddrV4; MOST_ASKED]> = SmallVec::new();
-        let began = self.clock.now();
-        while asked.len() < MOST_ASKED {
+    ) -> Option<Result<Placement, PlacementError>> {
+        let mut open = PendingRequest::new(self.clone(), id);
+        let mut asked: SmallVec<[SocketAddrV4; MAX_SCHEDULERS_ASKED]> = SmallVec::new();
+        let started_at = self.clock.now();
+        while asked.len() < MAX_SCHEDULERS_ASKED {
             let scheduler = next(&self.peers.borrow(), self.clock.now(), &asked)?;
             asked.push(scheduler);
-            let Some(grant) = open.verdict(scheduler, job).await else { continue };
-            let asked_ms = self.clock.now().since(began).as_millis() as u64;
+            let Some(grant) = open.await_decision(scheduler, job).await else { continue };
+            let asked_ms = self.clock.now().since(started_at).as_millis() as u64;
             log::info!(
                 target: "request", id = job.request.as_ref(), scheduler:%, asked_ms,
                 verdict:? = grant.verdict();
-                "scheduled"
+                "scheduler replied"
             );
             return match grant.verdict() {
-                // It may not have heard yet of an endpoint that this instance knows.
+                // The scheduler may not have received an endpoint yet that this instance knows.
                 Verdict::NoEndpoint if self.is_ahead_of(scheduler) => continue,
-                Verdict::TooLate => Some(Err(Denied::NoTurn)),
-                Verdict::NoEndpoint => Some(Err(Denied::NoEndpoint)),
-                Verdict::Held => Some(Err(Denied::Held)),
+                Verdict::TooLate => Some(Err(PlacementError::TurnExpired)),
+                Verdict::NoEndpoint => Some(Err(PlacementError::NoEndpoint)),
+                Verdict::Held => Some(Err(PlacementError::Held)),
                 Verdict::Limited => {
-                    Some(Err(Denied::Limited(Duration::from_millis(grant.come_back_ms))))
+                    Some(Err(PlacementError::Limited(Duration::from_millis(grant.come_back_ms))))
                 }
-                _ => Some(Ok(self.take_grant(id, &grant, asked.len() > 1)?)),
+                _ => Some(Ok(self.apply_grant(id, &grant, asked.len() > 1)?)),
             };
         }
         None
     }
 
-    /// Whether this instance knows changes of the endpoints' table that the one at `scheduler` does not. They
-    /// reach instances some milliseconds apart, and a caller that is refused meanwhile loses a trip and its wait,
-    /// with an idle endpoint known here.
+    /// Whether this instance has changes of the endpoint table that the scheduler lacks. Changes
+    /// reach instances some milliseconds apart, and a caller refused in between would lose a round
+    /// trip and its retry delay although an idle endpoint is known here.
     fn is_ahead_of(&self, scheduler: SocketAddrV4) -> bool {
         self.peers.borrow().is_behind(scheduler, self.endpoints_cursor.get().0)
     }
 
-    /// Puts a granted placement on this instance's book; none if it cannot be read.
-    fn take_grant(&self, id: WorkId, grant: &Grant, is_doubtful: bool) -> Option<Placement> {
+    /// Adds a granted placement to this instance's load book. `None` if it cannot be decoded.
+    fn apply_grant(&self, id: WorkId, grant: &Grant, is_doubtful: bool) -> Option<Placement> {
         let now = self.clock.now();
         let work = match grant.work.as_ref().map(|work| decode_placed_work(now, work)) {
             Some(Ok(work)) => work,
             Some(Err(e)) => {
-                log::warn!(target: "peers", error:% = e; "grant refused");
+                log::warn!(target: "peers", error:% = e; "invalid placement grant");
                 return None;
             }
             None => return None,
@@ -174,9 +175,9 @@
         };
         self.load.borrow_mut().place(now, id, work);
         if is_doubtful {
-            // The other one may have placed it elsewhere.
+            // The scheduler asked before may have placed the request elsewhere.
             self.outbox.borrow_mut().placed.push(id);
-            self.signals.now.notify_one();
+            self.flush.immediate.notify_one();
         }
         Some(placement)
     }
--- a/crates/ringbend-relay/src/ports.rs
+++ b/crates/ringbend-relay/src/ports.rs
@@ -52,7 +52,7 @@
     /// The address on which it accepts requests.
     pub address: SocketAddrV4,
     /// Its memory reservation for the prompt, if any.
-    pub ticket: Option<ReservationId>,
+    pub reservation: Option<ReservationId>,
 }
 
 /// A command on an engine's memory.
--- a/crates/ringbend-relay/src/turns.rs
+++ b/crates/ringbend-relay/src/prompt_queue.rs
@@ -1,4 +1,4 @@
-//! Waiting until a long prompt may be sent to engines.
+//! Queueing of long prompts until engines are available for them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,77 +9,77 @@
 use ringbend_types::Timestamp;
 
 use crate::node::Node;
-use crate::placing::Denied;
+use crate::placement::PlacementError;
 
-/// The longest time between two looks at engines that still read: an engine may leave meanwhile.
-const LONGEST_LOOK: Duration = Duration::from_millis(60);
+/// Maximum time between two checks of busy engines, as an engine may leave in the meantime.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// The shortest time between two looks.
-const SHORTEST_LOOK: Duration = Duration::from_millis(4);
+/// Minimum time between two checks.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(4);
 
 impl Node {
-    /// Waits until it is a request's turn, if its prompt is long.
+    /// Waits for the request's turn if its prompt is long.
     pub(crate) async fn wait_for_turn(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), PlacementError> {
         let Some((engine, demand)) = engine.zip(job.demand) else { return Ok(()) };
         if job.at_once || !self.is_long(job, Some(engine)) {
             return Ok(());
         }
-        let began = self.clock.now();
-        self.begin_to_wait(id, job, engine, demand);
+        let started_at = self.clock.now();
+        self.register_waiting(id, job, engine, demand);
         let mut passed_over_at: Option<Timestamp> = None;
         let (mut had_too_few, mut had_to_give_way) = (false, false);
         loop {
             let now = self.clock.now();
             let passed_over_for = passed_over_at.map_or(Duration::ZERO, |at| now.since(at));
             let claim = QueuedPrompt { id, passed_over_for, goal: job.goal(now, demand) };
-            let closed = self.closed_to(id, job);
-            let turn = self.decide(job, &closed, |view, candidates| {
+            let closed = self.endpoints_without_permit(id, job);
+            let turn = self.with_view(job, &closed, |view, candidates| {
                 decide_turn(view, &engine, candidates, &claim)
             });
-            let look = match turn {
+            let poll_interval = match turn {
                 Turn::Now => break,
-                Turn::TooLate => return Err(Denied::NoTurn),
+                Turn::TooLate => return Err(PlacementError::TurnExpired),
                 Turn::TooFewEngines => {
                     if !had_too_few {
-                        log::info!(target: "request", id = job.request.as_ref(); "waits for more engines");
+                        log::info!(target: "request", id = job.request.as_ref(); "waiting for more engines");
                     }
                     had_too_few = true;
-                    LONGEST_LOOK
+                    MAX_POLL_INTERVAL
                 }
                 Turn::TooCostly => {
                     if !had_to_give_way {
-                        log::info!(target: "request", id = job.request.as_ref(); "gives way");
+                        log::info!(target: "request", id = job.request.as_ref(); "yielding to other prompts");
                     }
                     had_to_give_way = true;
-                    LONGEST_LOOK
+                    MAX_POLL_INTERVAL
                 }
                 Turn::PassedOver => {
                     passed_over_at.get_or_insert(now);
-                    SHORTEST_LOOK
+                    MIN_POLL_INTERVAL
                 }
                 Turn::After(left) => {
                     passed_over_at = None;
-                    left.clamp(SHORTEST_LOOK, LONGEST_LOOK)
+                    left.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)
                 }
             };
             tokio::select! {
-                () = tokio::time::sleep(look) => {}
-                () = self.load_news.notified() => {}
+                () = tokio::time::sleep(poll_interval) => {}
+                () = self.load_changed.notified() => {}
             }
         }
-        let waited_ms = self.clock.now().since(began).as_millis() as u64;
+        let waited_ms = self.clock.now().since(started_at).as_millis() as u64;
         let waiting = self.load.borrow().waiting().count().saturating_sub(1);
         log::info!(target: "request", id = job.request.as_ref(), waited_ms, waiting; "turn");
         Ok(())
     }
 
-    /// Tells other schedulers that a long prompt waits.
-    fn begin_to_wait(&self, id: WorkId, job: &Job, engine: EngineProfile, demand: Demand) {
+    /// Reports to other schedulers that a long prompt is waiting.
+    fn register_waiting(&self, id: WorkId, job: &Job, engine: EngineProfile, demand: Demand) {
         let read = Duration::from_secs_f64(engine.prefill_ms(demand.prompt_tokens) / 1e3);
         let waiting = WaitingPrompt {
             service: job.service.clone(),
@@ -90,6 +90,6 @@
         };
         self.load.borrow_mut().wait(id, waiting);
         self.outbox.borrow_mut().waiting.push(id);
-        self.signals.now.notify_one();
+        self.flush.immediate.notify_one();
     }
 }
--- a/crates/ringbend-relay/src/refusal.rs
+++ b/crates/ringbend-relay/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The answers that the relay makes itself.
+//! Responses that the relay generates itself.
 
 use std::time::Duration;
 
@@ -9,46 +9,47 @@
 use ringbend_types::RunState;
 use serde::Serialize;
 
-/// Why the relay ends a request without an endpoint's answer.
+/// Why the relay ends a request without an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// Not let in.
+    /// The request was not admitted.
     Denied(Denied),
-    /// The instance stops and could not see the request to its end.
+    /// The instance is stopping and could not complete the request.
     Stopping,
-    /// The head holds a value that cannot be read.
+    /// The request head has an invalid header value.
     BadHead,
     /// The body is too large.
     BodyTooLarge,
-    /// The body did not come in time, or broke off.
+    /// The body did not arrive in time, or the connection broke.
     BodyBroken,
     /// The route leads to no service.
     NoService,
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts work.
     NoEndpoint,
-    /// Endpoints refused it; none ran it.
+    /// Endpoints refused the request; none ran it.
     NotTaken,
-    /// It was sent, and what came of it is not known or was of no use.
+    /// The request was sent, and its result is unknown or unusable.
     MayHaveRun,
-    /// It is held because it ends endpoints, and was not sent.
+    /// The request is held because it crashes endpoints. It was not sent.
     Held,
-    /// Endpoints that are left take few requests and have no place for it in time. It was not sent.
+    /// The remaining endpoints are rate-limited and have no permit in time. The request was not
+    /// sent.
     Limited,
-    /// All endpoints have asked this instance to back off. It was not sent.
+    /// All endpoints asked this instance to back off. The request was not sent.
     BackingOff,
-    /// It may end endpoints, and no instance that places such requests answers. It was not sent.
+    /// The request may crash endpoints, and no arbiter is available to place it. It was not sent.
     Suspected,
-    /// Its time is up and it was not run.
+    /// The deadline passed and the request was not run.
     LateNotRun,
-    /// Its time is up.
+    /// The deadline passed.
     Late,
 }
 
-/// When to come back if nothing better is known.
-const COME_BACK: Duration = Duration::from_millis(250);
+/// `Retry-After` if there is no better estimate.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When to come back to an instance that has no current configuration.
-const COME_BACK_STALE: Duration = Duration::from_millis(500);
+/// `Retry-After` of an instance without a current configuration.
+const STALE_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct Body {
@@ -57,7 +58,7 @@
 }
 
 impl Refusal {
-    /// The refusal of a request that ended in this state.
+    /// The refusal of a request that ended in this run state.
     pub(crate) fn of_state(state: RunState) -> Self {
         match state {
             RunState::NotRun => Self::NotTaken,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Whether the request was run.
+    /// Whether the request may have been run.
     pub(crate) fn run_state(self) -> RunState {
         match self {
             Self::MayHaveRun | Self::Late => RunState::MayHaveRun,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Its code in bodies, logs and metrics.
+    /// The code in response bodies, logs and metrics.
     pub(crate) fn code(self) -> &'static str {
         match self {
             Self::Denied(Denied::NoConfig) => "no-config",
@@ -110,10 +111,10 @@
         }
     }
 
-    /// When the caller should come back, where that helps.
-    fn come_back(self, hint: Option<Duration>) -> Option<Duration> {
+    /// The `Retry-After` of the response, if a retry is useful.
+    fn retry_delay(self, hint: Option<Duration>) -> Option<Duration> {
         match self {
-            Self::Denied(Denied::NoConfig | Denied::StaleConfig) => Some(COME_BACK_STALE),
+            Self::Denied(Denied::NoConfig | Denied::StaleConfig) => Some(STALE_CONFIG_RETRY_AFTER),
             Self::Stopping => Some(Duration::ZERO),
             Self::NoService
             | Self::NoEndpoint
@@ -122,16 +123,16 @@
             | Self::Limited
             | Self::BackingOff
             | Self::Suspected
-            | Self::LateNotRun => Some(hint.unwrap_or(COME_BACK)),
+            | Self::LateNotRun => Some(hint.unwrap_or(DEFAULT_RETRY_AFTER)),
             _ => None,
         }
     }
 
-    /// The answer. `hint` is when endpoints are expected to take requests again.
-    pub(crate) fn answer(self, hint: Option<Duration>) -> HttpResponse {
+    /// Builds the response. `hint` is when endpoints are expected to accept requests again.
+    pub(crate) fn into_response(self, hint: Option<Duration>) -> HttpResponse {
         let body = Body { error: self.code(), run: self.run_state() };
         let mut res = json(self.status(), &body);
-        if let Some(seconds) = self.come_back(hint).map(|after| after.as_secs_f64())
+        if let Some(seconds) = self.retry_delay(hint).map(|after| after.as_secs_f64())
             && let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}"))
         {
             res.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -12,21 +12,21 @@
 use ringbend_types::Timestamp;
 use tokio::task::JoinHandle;
 
+use crate::admin::{AdminServer, ReadinessCheck};
 use crate::callers::Callers;
 use crate::config::RelayConfig;
-use crate::copies::{ConfigCopy, EndpointCopy};
-use crate::doors::{MetricsPage, Ready};
-use crate::fetch::CopiesDoor;
-use crate::hearing::receive;
-use crate::joining::{greet_seeds, join};
-use crate::keeping::learn_suspects;
-use crate::link::Link;
+use crate::discovery::{greet_seeds, join};
+use crate::gossip_receiver::receive_digests;
+use crate::gossip_sender::GossipSender;
 use crate::node::Node;
+use crate::peer_copies::CopyServer;
+use crate::peer_socket::PeerSocket;
 use crate::ports::{
     ConfigDecoder, ConfigItem, ConfigSource, Dialect, DurableStore, EndpointSource,
     InstanceRegistry,
 };
-use crate::telling::Teller;
+use crate::suspect_store::learn_suspects;
+use crate::table_copies::{ConfigCopy, EndpointCopy};
 use crate::watch::Watch;
 
 /// Why a relay did not start.
@@ -75,8 +75,8 @@
 const READY: usize = 1;
 const METRICS: usize = 2;
 
-/// Idle timeout of callers' connections. Callers close idle connections after a shorter timeout of their own, so this
-/// one only has to be longer than theirs.
+/// Idle timeout of callers' connections. Callers reuse a connection for less time than their own
+/// idle limit, so this one only has to exceed theirs.
 const KEEP_ALIVE: Duration = Duration::from_secs(90);
 
 /// Initial value of this instance's clock. Other instances report when they last verified a copy, which may be before
@@ -117,11 +117,14 @@
         let node = Node::new(cfg, clock, ports.dialect, ports.config_decoder, ports.durable_store);
         let mut servers = Vec::new();
         let callers = Rc::new(Callers { node: node.clone() });
-        servers.push(open(listen.callers.into(), callers).await?);
-        servers.push(open(listen.ready.into(), Rc::new(Ready { node: node.clone() })).await?);
+        servers.push(start_server(listen.callers.into(), callers).await?);
+        servers.push(
+            start_server(listen.ready.into(), Rc::new(ReadinessCheck { node: node.clone() }))
+                .await?,
+        );
         if let Some(address) = listen.metrics {
-            let page = Rc::new(MetricsPage { node: node.clone() });
-            servers.push(open(address.into(), page).await?);
+            let page = Rc::new(AdminServer { node: node.clone() });
+            servers.push(start_server(address.into(), page).await?);
         }
         let config =
             Watch::<ConfigItem, ConfigItem, _>::new(node.clone(), ports.config, ConfigCopy);
@@ -131,18 +134,19 @@
             vec![tokio::task::spawn_local(config.run()), tokio::task::spawn_local(endpoints.run())];
         tasks.push(tokio::task::spawn_local(learn_suspects(node.clone())));
         if let Some(address) = listen.peers {
-            let door = open(address.into(), Rc::new(CopiesDoor { node: node.clone() })).await?;
-            let address = SocketAddrV4::new(*address.ip(), door.address().port());
-            servers.push(door);
-            let link = Link::open(address).await;
-            let link = link.change_context(RelayError::Listen(address.into()))?;
-            node.peers.borrow_mut().set_own_address(link.address);
+            let server =
+                start_server(address.into(), Rc::new(CopyServer { node: node.clone() })).await?;
+            let address = SocketAddrV4::new(*address.ip(), server.address().port());
+            servers.push(server);
+            let socket = PeerSocket::open(address).await;
+            let socket = socket.change_context(RelayError::Listen(address.into()))?;
+            node.peers.borrow_mut().set_own_address(socket.address);
             let has_seeds = !seeds.is_empty();
-            // Set once, as a relay starts once.
-            drop(node.link.set(link));
+            // Cannot fail, as a relay is started only once.
+            drop(node.peer_socket.set(socket));
             tasks.push(tokio::task::spawn_local(greet_seeds(node.clone(), seeds)));
-            tasks.push(tokio::task::spawn_local(receive(node.clone())));
-            tasks.push(tokio::task::spawn_local(Teller::new(node.clone()).run()));
+            tasks.push(tokio::task::spawn_local(receive_digests(node.clone())));
+            tasks.push(tokio::task::spawn_local(GossipSender::new(node.clone()).run()));
             let join = join(node.clone(), ports.registry.clone(), has_seeds);
             tasks.push(tokio::task::spawn_local(join));
         } else {
@@ -200,7 +204,7 @@
 
     /// Whether this instance is a scheduler, which places requests for other instances of its data centre.
     pub fn is_scheduler(&self) -> bool {
-        self.node.schedules()
+        self.node.is_scheduler()
     }
 
     /// The number of live instances that are known, including this one.
@@ -245,7 +249,7 @@
     }
 }
 
-async fn open(
+async fn start_server(
     address: SocketAddr,
     handler: Rc<dyn ringbend_runtime::Handler>,
 ) -> Result<Server, Report<RelayError>> {
--- a/crates/ringbend-relay/src/runs.rs
+++ b/crates/ringbend-relay/src/runs.rs
@@ -1,10 +1,11 @@
-//! A request on an endpoint until its answer begins, and a second run beside the first one.
+//! Runs of a request on an endpoint until the response starts, and hedging.
 //!
-//! A short prompt whose first event is overdue may be on an engine that is slow, gone or reading
-//! something else. Nobody can tell in time, so another engine gets the request as well while it can still
-//! be on time there, and whichever begins first answers. It buys the aim of those whose engine has just
-//! died or turned slow, which would else wait for over a second, at the cost of a prompt that is read
-//! twice; the budget of repeats bounds how many.
+//! The first event of a short prompt may be overdue because its engine is slow, has failed or is
+//! prefilling something else. The cause cannot be determined in time. The request is therefore also
+//! sent to another engine, provided that this one can still meet the target, and the first response
+//! is used. Requests whose engine has just crashed or turned slow thus meet their target, where
+//! they would otherwise wait for over a second. The cost is a prompt that is prefilled twice; the
+//! retry budget bounds how often.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,258 +19,282 @@
 use ringbend_types::Timestamp;
 use smallvec::SmallVec;
 
-use crate::crashes::Unanswered;
-use crate::exchange::{self, Answer, ExchangeError};
-use crate::fields::Millis;
+use crate::active_request::{ActiveRequest, SendFailure};
+use crate::crashes::AbandonGuard;
+use crate::exchange::{self, ExchangeError, IncomingResponse};
 use crate::headers::clone_head;
-use crate::life::{Failed, Life};
-use crate::node::{Node, Placed};
+use crate::log_fields::Millis;
+use crate::node::{Node, TrackedSend};
 use crate::ports::ResponseMetadata;
-use crate::scheduled::Scheduled;
-use crate::silence::Broken;
-use crate::streams::{Events, Relayed};
+use crate::scheduling::ScheduledSend;
+use crate::streams::{EventStream, ResponseStream};
+use crate::timeouts::RunError;
 
-/// A request that was sent to an endpoint. Dropping it closes the connection, which tells the endpoint
-/// to stop, and takes it off the books.
+/// A request that was sent to an endpoint. Dropping it closes the connection, which tells the
+/// endpoint to stop, and removes the work from the load book.
 pub(crate) struct Run {
     pub(crate) endpoint: Endpoint,
-    placed: Placed,
-    /// The endpoints that it depends on until its first event, as they were when it was sent.
-    on: SmallVec<[Endpoint; 4]>,
-    /// When it was sent.
+    tracked: TrackedSend,
+    /// The endpoints that the run depends on until its first event, in their state at the send.
+    dependencies: SmallVec<[Endpoint; 4]>,
+    /// When the request was sent.
     sent: Timestamp,
-    /// How long its first event was expected to take.
+    /// Expected time to the first event.
     expected: Duration,
-    /// When silence counts as a failure.
-    silent_at: Timestamp,
-    unanswered: Unanswered,
-    began: LocalBoxFuture<'static, Result<Began, ExchangeError>>,
+    /// When a missing first event counts as a failure.
+    silence_deadline: Timestamp,
+    abandon_guard: AbandonGuard,
+    started: LocalBoxFuture<'static, Result<ResponseStart, ExchangeError>>,
 }
 
-/// An answer that has begun.
-pub(crate) struct Began {
+/// A response that has started.
+pub(crate) struct ResponseStart {
     pub(crate) head: ResponseHead,
-    pub(crate) facts: ResponseMetadata,
-    pub(crate) rest: Rest,
+    pub(crate) response: ResponseMetadata,
+    pub(crate) body: ResponseBody,
 }
 
-/// What is still to be read of it.
-pub(crate) enum Rest {
-    /// All of its body.
-    Body(Answer),
-    /// The events after the first one; none came if the stream was empty.
-    Events(Events, Option<ringbend_gateway::Event>),
+/// The part of a response that is still to be read.
+pub(crate) enum ResponseBody {
+    /// The complete body.
+    Body(IncomingResponse),
+    /// The events after the first one, which is `None` if the stream was empty.
+    EventStream(EventStream, Option<ringbend_gateway::Event>),
 }
 
-/// What is sent.
-struct Sending {
+/// Everything that is needed for a send.
+struct SendRequest {
     node: Rc<Node>,
     endpoint: Endpoint,
     head: RequestHead,
     body: Bytes,
     request_id: Option<std::sync::Arc<str>>,
     last_event: Option<EventId>,
-    /// Whether the answer is a stream, whose first event is waited for.
+    /// Whether the response is a stream whose first event is awaited.
     streaming: bool,
 }
 
-impl Sending {
-    async fn begin(self) -> Result<Began, ExchangeError> {
+impl SendRequest {
+    async fn begin(self) -> Result<ResponseStart, ExchangeError> {
         let Self { node, endpoint, head, body, request_id, last_event, streaming } = self;
-        let asked = node.clock.now();
-        let answer = exchange::send(&node.http, endpoint.address, head, body).await?;
-        let head = clone_head(&answer.head);
-        let facts = node.dialect.parse_response(head.status, &head.headers);
-        if !facts.is_wrong_endpoint
-            && (facts.request_id.is_none() || facts.request_id == request_id)
+        let sent_at = node.clock.now();
+        let incoming = exchange::send(&node.http_config, endpoint.address, head, body).await?;
+        let head = clone_head(&incoming.head);
+        let response = node.dialect.parse_response(head.status, &head.headers);
+        if !response.is_wrong_endpoint
+            && (response.request_id.is_none() || response.request_id == request_id)
         {
-            node.apply_signals(&endpoint, asked, &facts.signals, LimitSource::Response);
+            node.apply_signals(&endpoint, sent_at, &response.signals, LimitSource::Response);
         }
-        let is_own = !facts.not_run && facts.request_id == request_id;
+        let is_own = !response.not_run && response.request_id == request_id;
         if !(streaming && is_own && head.status == StatusCode::OK) {
-            return Ok(Began { head, facts, rest: Rest::Body(answer) });
+            return Ok(ResponseStart { head, response, body: ResponseBody::Body(incoming) });
         }
-        let mut events = Events::new(answer, last_event);
+        let mut events = EventStream::new(incoming, last_event);
         let first = events.next().await?;
-        Ok(Began { head, facts, rest: Rest::Events(events, first) })
+        Ok(ResponseStart { head, response, body: ResponseBody::EventStream(events, first) })
     }
 }
 
-impl Life {
+impl ActiveRequest {
     /// Sends the request to the endpoints that it was placed on.
     pub(crate) async fn start(
         &mut self,
-        scheduled: Scheduled,
+        scheduled: ScheduledSend,
         last_event: Option<EventId>,
-    ) -> Result<Run, Failed> {
-        let Scheduled { endpoint, placement, mut placed, expected } = scheduled;
-        let on = self.depends_on(&endpoint, &placement);
-        self.admit(&on)?;
-        self.hold_memory(&placement, &mut placed).await?;
-        let head = self.request_head(&endpoint, &placement, placed.memory.as_ref(), last_event);
+    ) -> Result<Run, SendFailure> {
+        let ScheduledSend { endpoint, placement, mut tracked, expected } = scheduled;
+        let dependencies = self.run_dependencies(&endpoint, &placement);
+        self.admit(&dependencies)?;
+        self.reserve_memory(&placement, &mut tracked).await?;
+        let head = self.request_head(&endpoint, &placement, tracked.memory.as_ref(), last_event);
         if self.is_held() {
-            return Err(Failed::Held);
+            return Err(SendFailure::Held);
         }
-        // Holding memory takes some milliseconds.
-        self.admit(&on)?;
-        self.node.sends.borrow_mut().insert(placed.id, self.origin.fingerprint);
-        self.writes_since = None;
-        self.strikes_before = self.node.quarantine.borrow().strikes(self.origin.fingerprint);
+        // The reservation took some milliseconds, so the check is repeated.
+        self.admit(&dependencies)?;
+        self.node.open_sends.borrow_mut().insert(tracked.id, self.original.fingerprint);
+        self.streaming_since = None;
+        self.strikes_before = self.node.quarantine.borrow().strikes(self.original.fingerprint);
         self.attempts.record_send(&endpoint.id);
         self.node.backoffs.borrow_mut().sending(self.node.clock.now(), &endpoint);
         self.node.metrics.attempt(self.attempts.tried().len() as u32);
-        let sending = Sending {
+        let sending = SendRequest {
             node: self.node.clone(),
             endpoint: endpoint.clone(),
             head,
-            body: self.origin.body.clone(),
-            request_id: self.call.request_id.clone(),
-            last_event: last_event.or(self.call.last_event_id),
-            streaming: self.terms.route.streaming,
+            body: self.original.body.clone(),
+            request_id: self.metadata.request_id.clone(),
+            last_event: last_event.or(self.metadata.last_event_id),
+            streaming: self.config.route.streaming,
         };
         let sent = self.node.clock.now();
         let overdue_at = sent + overdue_after(expected);
-        let began = Box::pin(self.watched(&on, overdue_at, sending.begin()));
-        let silent_at = self.silence_limit(&placed, expected);
-        let unanswered = self.unanswered(&endpoint);
-        Ok(Run { endpoint, placed, on, sent, expected, silent_at, unanswered, began })
+        let started = Box::pin(self.watch_for_overdue(&dependencies, overdue_at, sending.begin()));
+        let silence_deadline = self.silence_deadline(&tracked, expected);
+        let abandon_guard = self.abandon_guard(&endpoint);
+        Ok(Run {
+            endpoint,
+            tracked,
+            dependencies,
+            sent,
+            expected,
+            silence_deadline,
+            abandon_guard,
+            started,
+        })
     }
 
-    fn depends_on(&self, lead: &Endpoint, placement: &Placement) -> SmallVec<[Endpoint; 4]> {
+    fn run_dependencies(&self, lead: &Endpoint, placement: &Placement) -> SmallVec<[Endpoint; 4]> {
         let directory = self.node.directory.borrow();
         let helpers = placement.helpers.iter().filter_map(|id| directory.get(id));
         std::iter::once(lead).chain(helpers).cloned().collect()
     }
 
-    /// Waits until a run begins to answer; begins a second one beside it where that can be in time.
-    pub(crate) async fn first_of(&mut self, mut run: Run) -> Result<(Run, Began), Failed> {
-        let Some(at) = self.hedge_at(&run) else { return self.only(run).await };
-        match self.timed(&run.on, at, &mut run.began).await {
-            Err(Broken::Late) => {}
-            began => return self.settle(run, began),
+    /// Waits for a run's response, and starts a hedge if it can meet the target.
+    pub(crate) async fn await_first_response(
+        &mut self,
+        mut run: Run,
+    ) -> Result<(Run, ResponseStart), SendFailure> {
+        let Some(at) = self.hedge_at(&run) else { return self.await_response(run).await };
+        match self.run_until(&run.dependencies, at, &mut run.started).await {
+            Err(RunError::Late) => {}
+            started => return self.settle(run, started),
         }
         let placed = {
             let placing = std::pin::pin!(self.schedule(false));
             let deadline = self.attempts.deadline();
-            let first = self.timed(&run.on, deadline, &mut run.began);
+            let first = self.run_until(&run.dependencies, deadline, &mut run.started);
             tokio::select! {
                 biased;
-                began = first => Err(began),
+                started = first => Err(started),
                 placed = placing => Ok(placed),
             }
         };
         match placed {
-            Err(began) => self.settle(run, began),
+            Err(started) => self.settle(run, started),
             Ok(Ok(second))
-                if !self.is_suspect() && self.is_worth_it(&run, &second) && self.run_beside() =>
+                if !self.is_suspect()
+                    && self.is_hedge_useful(&run, &second)
+                    && self.begin_hedge() =>
             {
                 match self.start(second, None).await {
                     Ok(second) => self.race(run, second).await,
-                    Err(_) => self.only(run).await,
+                    Err(_) => self.await_response(run).await,
                 }
             }
-            Ok(_) => self.only(run).await,
+            Ok(_) => self.await_response(run).await,
         }
     }
 
-    /// Whether the request is suspected of ending endpoints, so that it runs on one at a time.
+    /// Whether the request is suspected of crashing endpoints, so that it runs on one at a time.
     fn is_suspect(&self) -> bool {
-        self.node.suspect_state(self.origin.fingerprint) != SuspectState::Clear
+        self.node.suspect_state(self.original.fingerprint) != SuspectState::Clear
     }
 
-    /// When a second run is begun if the first one has not begun to answer; none if it is not.
+    /// When a hedge is started if there is no response yet; `None` if there will be none.
     fn hedge_at(&self, run: &Run) -> Option<Timestamp> {
-        let is_short = self.terms.service.engine.is_some() && run.placed.memory.is_none();
-        if !is_short || !self.may_run_twice() || self.is_suspect() {
+        let is_short = self.config.service.engine.is_some() && run.tracked.memory.is_none();
+        if !is_short || !self.may_rerun() || self.is_suspect() {
             return None;
         }
-        hedge_at(run.sent, run.expected, self.first_by())
+        hedge_at(run.sent, run.expected, self.first_event_due())
     }
 
-    /// Whether a second run is expected to begin its answer in time, on another endpoint.
-    fn is_worth_it(&self, run: &Run, second: &Scheduled) -> bool {
+    /// Whether a hedge is expected to meet the target on another endpoint.
+    fn is_hedge_useful(&self, run: &Run, second: &ScheduledSend) -> bool {
         let now = self.node.clock.now();
-        let is_in_time = now + second.expected <= self.first_by();
+        let is_in_time = now + second.expected <= self.first_event_due();
         let is_worth_it = is_in_time && second.endpoint.id != run.endpoint.id;
         let waited_ms = Millis(Some(now.since(run.sent)));
         log::info!(
-            target: "request", id = self.id(), endpoint:% = run.endpoint.id, waited_ms:%,
+            target: "request", id = self.request_id(), endpoint:% = run.endpoint.id, waited_ms:%,
             expected_ms:% = Millis(Some(run.expected)), other:% = second.endpoint.id,
             other_ms:% = Millis(Some(second.expected)), is_worth_it;
-            "overdue"
+            "first event overdue; considering a hedge"
         );
         is_worth_it
     }
 
-    /// Waits for the first of two runs that begins to answer.
-    async fn race(&mut self, mut one: Run, mut two: Run) -> Result<(Run, Began), Failed> {
+    /// Waits for the first response of two runs.
+    async fn race(
+        &mut self,
+        mut one: Run,
+        mut two: Run,
+    ) -> Result<(Run, ResponseStart), SendFailure> {
         let deadline = self.attempts.deadline();
-        let (began, is_second) = {
-            let first = self.timed(&one.on, deadline, &mut one.began);
-            let second = self.timed(&two.on, deadline, &mut two.began);
+        let (started, is_second) = {
+            let first = self.run_until(&one.dependencies, deadline, &mut one.started);
+            let second = self.run_until(&two.dependencies, deadline, &mut two.started);
             tokio::select! {
                 biased;
-                began = first => (began, false),
-                began = second => (began, true),
+                started = first => (started, false),
+                started = second => (started, true),
             }
         };
         let (run, mut other) = if is_second { (two, one) } else { (one, two) };
-        match self.settle(run, began) {
-            Ok((run, began)) if !began.facts.not_run => {
-                // Its request does well; what becomes of the other run's endpoint is not by it.
-                other.unanswered.settle();
-                Ok((run, began))
+        match self.settle(run, started) {
+            Ok((run, started)) if !started.response.not_run => {
+                // The request succeeded, so the end of the other run's endpoint is not attributed
+                // to it.
+                other.abandon_guard.disarm();
+                Ok((run, started))
             }
-            Ok((run, began)) => {
-                // It did not run there; the other one goes on.
-                if let Err(Failed::Send(_)) =
-                    self.check(&run.endpoint, &began.facts, began.head.status)
+            Ok((run, started)) => {
+                // The request was not run there; the other run continues.
+                if let Err(SendFailure::Send(_)) =
+                    self.check_response(&run.endpoint, &started.response, started.head.status)
                 {
                     drop(run);
                 }
-                self.only(other).await
+                self.await_response(other).await
             }
-            Err(_) => self.only(other).await,
+            Err(_) => self.await_response(other).await,
         }
     }
 
-    /// Waits until a run begins to answer.
-    pub(crate) async fn only(&mut self, mut run: Run) -> Result<(Run, Began), Failed> {
-        let by = run.silent_at;
-        let began = match run.placed.memory {
-            Some(_) => self.timed(&run.on, by, &mut run.began).await,
-            None => self.patient(&run.on, by, &mut run.began).await,
+    /// Waits for a run's response.
+    pub(crate) async fn await_response(
+        &mut self,
+        mut run: Run,
+    ) -> Result<(Run, ResponseStart), SendFailure> {
+        let by = run.silence_deadline;
+        let started = match run.tracked.memory {
+            Some(_) => self.run_until(&run.dependencies, by, &mut run.started).await,
+            None => self.wait_or_replace(&run.dependencies, by, &mut run.started).await,
         };
-        self.settle(run, began)
+        self.settle(run, started)
     }
 
     fn settle(
         &mut self,
         mut run: Run,
-        began: Result<Began, Broken>,
-    ) -> Result<(Run, Began), Failed> {
-        run.unanswered.settle();
-        match began {
-            Ok(began) => Ok((run, began)),
-            Err(why) => Err(self.broken(&run.endpoint, &why)),
+        started: Result<ResponseStart, RunError>,
+    ) -> Result<(Run, ResponseStart), SendFailure> {
+        run.abandon_guard.disarm();
+        match started {
+            Ok(started) => Ok((run, started)),
+            Err(why) => Err(self.note_run_error(&run.endpoint, &why)),
         }
     }
 }
 
 impl Run {
-    /// The stream of a run whose first event has come.
+    /// Converts a run whose first event has arrived into its stream.
     pub(crate) fn into_stream(
         self,
         head: ResponseHead,
-        events: Events,
+        events: EventStream,
         first: Option<ringbend_gateway::Event>,
-    ) -> Relayed {
-        let Self { endpoint, placed, mut on, .. } = self;
-        placed.first_event();
-        // The prompt has been read: what helped to read it may end, but for what holds memory.
-        let holds =
-            |e: &Endpoint| placed.memory.as_ref().is_some_and(|m| m.ticket_at(e.address).is_some());
-        on.retain(|e| e.id == endpoint.id || holds(e));
-        Relayed { head, endpoint, placed, on, events, first }
+    ) -> ResponseStream {
+        let Self { endpoint, tracked, mut dependencies, .. } = self;
+        tracked.note_first_event();
+        // The prompt is prefilled, so the end of a helper no longer matters unless it holds
+        // reserved memory.
+        let holds = |e: &Endpoint| {
+            tracked.memory.as_ref().is_some_and(|m| m.reservation_at(e.address).is_some())
+        };
+        dependencies.retain(|e| e.id == endpoint.id || holds(e));
+        ResponseStream { head, endpoint, tracked, dependencies, events, first }
     }
 }
--- a/crates/ringbend-relay/src/sending.rs
+++ b/crates/ringbend-relay/src/sending.rs
@@ -1,4 +1,4 @@
-//! One send to an endpoint: its head, and what the answer's head says of it.
+//! One send to an endpoint: the request head, and the interpretation of the response head.
 
 use std::net::SocketAddrV4;
 
@@ -7,126 +7,127 @@
 use ringbend_types::EndpointId;
 use smallvec::SmallVec;
 
+use crate::active_request::{ActiveRequest, SendFailure};
 use crate::headers::end_to_end;
-use crate::life::{Failed, Life};
-use crate::memory::HeldMemory;
 use crate::ports::{ForwardContext, PrefillHelper, ResponseMetadata};
-use crate::silence::Broken;
+use crate::reservations::MemoryReservations;
+use crate::timeouts::RunError;
 
-impl Life {
-    /// Checks that the answer is this request's, and that it was run.
-    pub(crate) fn check(
+impl ActiveRequest {
+    /// Checks that the response belongs to this request and that the request was run.
+    pub(crate) fn check_response(
         &mut self,
         endpoint: &Endpoint,
-        facts: &ResponseMetadata,
+        response: &ResponseMetadata,
         status: StatusCode,
-    ) -> Result<(), Failed> {
-        let (id, status) = (self.id(), status.as_u16());
-        if facts.not_run {
-            log::info!(target: "request", id, endpoint:% = endpoint.id, status; "not run");
-            match facts.faulty_engine.filter(|address| *address != endpoint.address) {
-                Some(address) => self.distrust_address(address),
-                None if facts.is_wrong_endpoint => self.distrust_foreign(&endpoint.id),
-                // It takes no more for now than it has named, and is as good as before.
-                None if matches!(facts.signals.limit, LimitSignal::Rate(_)) => {}
-                None => self.trust(&endpoint.id, HealthEvent::Full),
+    ) -> Result<(), SendFailure> {
+        let (id, status) = (self.request_id(), status.as_u16());
+        if response.not_run {
+            log::info!(target: "request", id, endpoint:% = endpoint.id, status; "endpoint did not run the request");
+            match response.faulty_engine.filter(|address| *address != endpoint.address) {
+                Some(address) => self.note_unhealthy_address(address),
+                None if response.is_wrong_endpoint => self.note_wrong_endpoint(&endpoint.id),
+                // The endpoint enforces its announced rate limit, which is no sign of bad health.
+                None if matches!(response.signals.limit, LimitSignal::Rate(_)) => {}
+                None => self.record_health(&endpoint.id, HealthEvent::Full),
             }
-            return Err(Failed::Send(SendOutcome::NotRun));
+            return Err(SendFailure::Send(SendOutcome::NotRun));
         }
-        if facts.request_id != self.call.request_id {
-            log::warn!(target: "request", id, endpoint:% = endpoint.id, status; "foreign answer");
-            self.trust(&endpoint.id, HealthEvent::Bad);
-            return Err(Failed::Send(SendOutcome::Unknown));
+        if response.request_id != self.metadata.request_id {
+            log::warn!(target: "request", id, endpoint:% = endpoint.id, status; "response belongs to another request");
+            self.record_health(&endpoint.id, HealthEvent::Bad);
+            return Err(SendFailure::Send(SendOutcome::Unknown));
         }
         Ok(())
     }
 
-    pub(crate) fn distrust_address(&self, address: SocketAddrV4) {
+    pub(crate) fn note_unhealthy_address(&self, address: SocketAddrV4) {
         let directory = self.node.directory.borrow();
         let Some(endpoint) = directory.by_address(address) else { return };
-        self.trust(&endpoint.id, HealthEvent::Bad);
-        self.tell_unfit(&endpoint.id);
+        self.record_health(&endpoint.id, HealthEvent::Bad);
+        self.gossip_unfit(&endpoint.id);
     }
 
-    /// Notes that another endpoint answered at this one's address, so this one has ended.
-    fn distrust_foreign(&self, endpoint: &EndpointId) {
-        self.trust(endpoint, HealthEvent::Foreign);
-        self.tell_unfit(endpoint);
+    /// Records that another endpoint responded at this endpoint's address, so this one has ended.
+    fn note_wrong_endpoint(&self, endpoint: &EndpointId) {
+        self.record_health(endpoint, HealthEvent::Foreign);
+        self.gossip_unfit(endpoint);
     }
 
-    /// Others would find out one request at a time, as the list lags.
-    fn tell_unfit(&self, endpoint: &EndpointId) {
+    /// Reports the endpoint to other instances, which would otherwise each find out with a request
+    /// of their own, as the endpoint table lags behind.
+    fn gossip_unfit(&self, endpoint: &EndpointId) {
         self.node.outbox.borrow_mut().unfit.push(endpoint.clone());
-        self.node.signals.soon.notify_one();
+        self.node.flush.batched.notify_one();
     }
 
-    pub(crate) fn trust(&self, endpoint: &EndpointId, event: HealthEvent) {
-        self.node.trust.borrow_mut().note(self.node.clock.now(), endpoint, event);
-        if !self.node.schedules() {
-            // Whoever places the next request must know.
+    pub(crate) fn record_health(&self, endpoint: &EndpointId, event: HealthEvent) {
+        self.node.health.borrow_mut().note(self.node.clock.now(), endpoint, event);
+        if !self.node.is_scheduler() {
+            // The scheduler that places the next request needs this result.
             self.node.outbox.borrow_mut().results.push((endpoint.clone(), event));
-            self.node.signals.soon.notify_one();
+            self.node.flush.batched.notify_one();
         }
     }
 
-    /// Notes a send that broke.
-    pub(crate) fn broken(&mut self, endpoint: &Endpoint, why: &Broken) -> Failed {
-        if matches!(why, Broken::Held) {
+    /// Records a failed run and decides how it counts.
+    pub(crate) fn note_run_error(&mut self, endpoint: &Endpoint, why: &RunError) -> SendFailure {
+        if matches!(why, RunError::Held) {
             log::warn!(
-                target: "request", id = self.id(), fingerprint:% = self.origin.fingerprint,
+                target: "request", id = self.request_id(), fingerprint:% = self.original.fingerprint,
                 endpoint:% = endpoint.id, why:%;
-                "broken off"
+                "send cancelled: request is held"
             );
             self.attempts.record_aborted();
-            return Failed::Held;
+            return SendFailure::Held;
         }
-        if !matches!(why, Broken::Ended) {
-            self.trust(&endpoint.id, HealthEvent::Bad);
+        if !matches!(why, RunError::Ended) {
+            self.record_health(&endpoint.id, HealthEvent::Bad);
         }
-        if matches!(why, Broken::Exchange(_)) && self.terms.service.engine.is_some() {
-            // Schedulers of other data centres hear of it if it does not say how it is either.
-            self.node.suspect(&endpoint.id);
+        if matches!(why, RunError::Exchange(_)) && self.config.service.engine.is_some() {
+            // If the engine's report fails as well, schedulers of other data centres learn of it.
+            self.node.suspect_engine(&endpoint.id);
         }
-        if matches!(why, Broken::Replaced) {
-            log::warn!(target: "request", id = self.id(), endpoint:% = endpoint.id, why:%; "left");
-            return Failed::Replaced;
+        if matches!(why, RunError::Replaced) {
+            log::warn!(target: "request", id = self.request_id(), endpoint:% = endpoint.id, why:%; "replacing silent run");
+            return SendFailure::Replaced;
         }
-        let end = if why.nothing_sent() { SendOutcome::NotSent } else { SendOutcome::Unknown };
+        let end = if why.is_unsent() { SendOutcome::NotSent } else { SendOutcome::Unknown };
         log::warn!(
-            target: "request", id = self.id(), fingerprint:% = self.origin.fingerprint,
+            target: "request", id = self.request_id(), fingerprint:% = self.original.fingerprint,
             endpoint:% = endpoint.id, why:%, end:? = end;
             "send failed"
         );
-        Failed::Send(end)
+        SendFailure::Send(end)
     }
 
     pub(crate) fn request_head(
         &self,
         endpoint: &Endpoint,
         placement: &Placement,
-        memory: Option<&HeldMemory>,
+        memory: Option<&MemoryReservations>,
         last_event: Option<EventId>,
     ) -> RequestHead {
         let mut head = RequestHead::default();
-        head.method = self.origin.head.method.clone();
-        head.uri = self.origin.head.uri.clone();
-        head.headers = end_to_end(&self.origin.head.headers);
+        head.method = self.original.head.method.clone();
+        head.uri = self.original.head.uri.clone();
+        head.headers = end_to_end(&self.original.head.headers);
         let directory = self.node.directory.borrow();
         let helper = |id| {
             let address = directory.get(id)?.address;
-            let ticket = memory.and_then(|memory| memory.ticket_at(address));
-            Some(PrefillHelper { address, ticket })
+            let reservation = memory.and_then(|memory| memory.reservation_at(address));
+            Some(PrefillHelper { address, reservation })
         };
         let helpers: SmallVec<_> = placement.helpers.iter().filter_map(helper).collect();
-        let order = ForwardContext {
+        let context = ForwardContext {
             endpoint: endpoint.id.clone(),
-            account: self.terms.account.as_ref().map(|a| a.id.clone()),
+            account: self.config.account.as_ref().map(|a| a.id.clone()),
             time_left: self.attempts.remaining(self.node.clock.now()),
-            last_event_id: last_event.or(self.call.last_event_id),
+            last_event_id: last_event.or(self.metadata.last_event_id),
             helpers,
-            priority: self.terms.service.engine.map(|_| self.rank()),
+            priority: self.config.service.engine.map(|_| self.engine_priority()),
         };
-        self.node.dialect.set_forward_headers(&order, &mut head.headers);
+        self.node.dialect.set_forward_headers(&context, &mut head.headers);
         head.set_connection_type(actix_http::ConnectionType::Close);
         head
     }
