--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals in the heads of endpoints' responses: each is noted in one place.
+//! Processing of the signals in endpoints' response headers.
 
 use std::collections::HashSet;
 
@@ -8,26 +8,26 @@
 
 use crate::node::Node;
 
-/// The most announcements told in one datagram, so that it stays well below what is read.
-const TOLD_AT_ONCE: usize = 64;
+/// Maximum number of announcements per datagram, so that it stays well below the receive buffer.
+const MAX_PER_DATAGRAM: usize = 64;
 
-/// The most endpoints and headers that a line is remembered for.
+/// Maximum number of endpoints and headers whose log messages are remembered.
 const MAX_LOGGED: usize = 256;
 
-/// What was logged already, so that endpoints cannot flood the log.
+/// Signals that were already logged, so that endpoints cannot flood the log.
 #[derive(Default)]
 pub(crate) struct LoggedSignals {
     malformed: HashSet<EndpointId>,
     unknown: HashSet<Box<str>>,
 }
 
-/// Whether a line is the first one of its kind.
+/// Whether this is the first occurrence, which is logged.
 fn is_first<T: Eq + std::hash::Hash>(logged: &mut HashSet<T>, of: T) -> bool {
     logged.len() < MAX_LOGGED && logged.insert(of)
 }
 
 impl Node {
-    /// Notes the signals of a response to something that was sent at `sent`.
+    /// Processes the signals of a response to a request that was sent at `sent`.
     pub(crate) fn apply_signals(
         &self,
         endpoint: &Endpoint,
@@ -35,7 +35,7 @@
         signals: &EndpointSignals,
         from: LimitSource,
     ) {
-        self.hear_limit(endpoint, sent, signals.limit, from);
+        self.note_limit_signal(endpoint, sent, signals.limit, from);
         match signals.draining {
             Signal::Present(_) => {
                 let (id, start) = (endpoint.id.clone(), endpoint.start);
@@ -47,7 +47,7 @@
         match signals.backoff {
             Signal::Present(after) => self.begin_backoff(endpoint, after),
             Signal::Malformed(why) => self.log_malformed(endpoint, "retry-after", why),
-            // That an endpoint tells how it is does not mean that it takes requests.
+            // A response to a report request does not imply that the endpoint accepts requests.
             Signal::Absent if from == LimitSource::Response && !signals.rejected => {
                 self.end_backoff(endpoint, sent);
             }
@@ -74,34 +74,38 @@
         if for_all {
             outbox.drains.push(endpoint);
         }
-        self.signals.now.notify_one();
+        self.flush.immediate.notify_one();
     }
 
-    /// Notes what another instance knows of draining endpoints. What one that does not schedule tells is told on to
-    /// all, what a scheduler tells to those that do not schedule.
-    pub(crate) fn note_drains(&self, digest: &LoadDigest, from_scheduler: bool) {
+    /// Merges draining endpoints known to another instance. Those from a member are forwarded to
+    /// all instances, those from a scheduler to the members.
+    pub(crate) fn merge_drains(&self, digest: &LoadDigest, from_scheduler: bool) {
         for told in &digest.drains {
             match decode_drain(told) {
                 Ok(drain) => self.note_drain(drain, "another instance", !from_scheduler),
-                Err(e) => log::warn!(target: "peers", error:% = e; "drain refused"),
+                Err(e) => log::warn!(target: "peers", error:% = e; "invalid drain in digest"),
             }
         }
     }
 
-    /// The announcements of these endpoints as told to others, and recent ones.
-    pub(crate) fn told_drains(&self, of: &[EndpointId], now: Timestamp) -> Vec<EndpointDrain> {
+    /// The announcements of these endpoints and all recent ones, encoded for other instances.
+    pub(crate) fn drain_updates(
+        &self,
+        endpoints: &[EndpointId],
+        now: Timestamp,
+    ) -> Vec<EndpointDrain> {
         let directory = self.directory.borrow();
         let drains = directory.drains();
-        let named = of.iter().filter_map(|endpoint| drains.get(endpoint));
-        let recent = drains.recent(now).filter(|drain| !of.contains(&drain.endpoint));
-        named.chain(recent).take(TOLD_AT_ONCE).map(encode_drain).collect()
+        let named = endpoints.iter().filter_map(|endpoint| drains.get(endpoint));
+        let recent = drains.recent(now).filter(|drain| !endpoints.contains(&drain.endpoint));
+        named.chain(recent).take(MAX_PER_DATAGRAM).map(encode_drain).collect()
     }
 
     /// All announcements, for an instance that has just started.
-    pub(crate) fn all_drains(&self) -> Vec<LoadDigest> {
+    pub(crate) fn drain_snapshot(&self) -> Vec<LoadDigest> {
         let all: Vec<_> = self.directory.borrow().drains().all().map(encode_drain).collect();
         let digest = |part: &[_]| LoadDigest { drains: part.to_vec(), ..self.digest() };
-        all.chunks(TOLD_AT_ONCE).map(digest).collect()
+        all.chunks(MAX_PER_DATAGRAM).map(digest).collect()
     }
 
     fn begin_backoff(&self, endpoint: &Endpoint, after: RetryAfter) {
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Drops signals of endpoints that are gone, and delays that ended long ago.
+    /// Removes signals of endpoints that no longer exist, and back-offs that ended long ago.
     pub(crate) fn sweep_signals(&self, now: Timestamp) {
         self.directory.borrow_mut().sweep_drains(now);
         self.backoffs.borrow_mut().sweep(now);
--- a/crates/ringbend-relay/src/streams.rs
+++ b/crates/ringbend-relay/src/streams.rs
@@ -1,4 +1,4 @@
-//! Passing an event stream on, and continuing it at another engine when it breaks.
+//! Forwarding of event streams, which are resumed on another engine when they break.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,35 +10,35 @@
 use ringbend_types::Timestamp;
 use smallvec::SmallVec;
 
-use crate::exchange::{Answer, ExchangeError};
+use crate::active_request::{ActiveRequest, SendFailure};
+use crate::exchange::{ExchangeError, IncomingResponse};
 use crate::headers::copy_headers;
-use crate::life::{Failed, Life};
-use crate::node::Placed;
-use crate::runs::{Began, Rest};
+use crate::node::TrackedSend;
+use crate::runs::{ResponseBody, ResponseStart};
 
-/// Events that may wait for a slow caller.
-const DEPTH: usize = 64;
+/// Number of events buffered for a slow caller.
+const EVENT_BUFFER: usize = 64;
 
-/// The shortest silence between events that counts as a failure.
-const GAP_SILENCE: Duration = Duration::from_millis(1_200);
+/// Shortest silence between events that counts as a failure.
+const GAP_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How many times the longest pause that is on time counts as a failure.
+/// Multiple of the target for pauses between events that counts as a failure.
 const GAP_FACTOR: u32 = 4;
 
-/// The events of one answer.
-pub(crate) struct Events {
-    answer: Answer,
-    cutter: EventSplitter,
+/// The events of one response.
+pub(crate) struct EventStream {
+    incoming: IncomingResponse,
+    parser: EventSplitter,
     ready: VecDeque<Event>,
     last: Option<EventId>,
 }
 
-impl Events {
-    pub(crate) fn new(answer: Answer, last: Option<EventId>) -> Self {
-        Self { answer, cutter: EventSplitter::default(), ready: VecDeque::new(), last }
+impl EventStream {
+    pub(crate) fn new(incoming: IncomingResponse, last: Option<EventId>) -> Self {
+        Self { incoming, parser: EventSplitter::default(), ready: VecDeque::new(), last }
     }
 
-    /// The next event that was not passed on before; none once the stream has ended whole.
+    /// The next event that was not forwarded before; `None` at the regular end of the stream.
     pub(crate) async fn next(&mut self) -> Result<Option<Event>, ExchangeError> {
         loop {
             while let Some(event) = self.ready.pop_front() {
@@ -48,64 +48,67 @@
                     return Ok(Some(event));
                 }
             }
-            match self.answer.chunk().await? {
-                Some(chunk) => match self.cutter.push(&chunk) {
+            match self.incoming.next_chunk().await? {
+                Some(chunk) => match self.parser.push(&chunk) {
                     Ok(events) => self.ready.extend(events),
                     Err(e) => {
-                        log::warn!(target: "request", error:% = e; "stream is no event stream");
+                        log::warn!(target: "request", error:% = e; "invalid event stream");
                         return Err(ExchangeError::Truncated);
                     }
                 },
-                None if self.cutter.is_between_events() => return Ok(None),
+                None if self.parser.is_between_events() => return Ok(None),
                 None => return Err(ExchangeError::Truncated),
             }
         }
     }
 }
 
-/// A stream whose first event has come.
-pub(crate) struct Relayed {
+/// A stream whose first event has arrived.
+pub(crate) struct ResponseStream {
     pub(crate) head: ResponseHead,
     pub(crate) endpoint: Endpoint,
-    pub(crate) placed: Placed,
-    /// The endpoints that the rest of it depends on.
-    pub(crate) on: SmallVec<[Endpoint; 4]>,
-    pub(crate) events: Events,
+    pub(crate) tracked: TrackedSend,
+    /// The endpoints that the rest of the stream depends on.
+    pub(crate) dependencies: SmallVec<[Endpoint; 4]>,
+    pub(crate) events: EventStream,
     pub(crate) first: Option<Event>,
 }
 
-/// Begins the caller's answer and passes the rest on in a task of its own.
-pub(crate) fn relay(life: Life, relayed: Relayed) -> HttpResponse {
-    let (tx, mut res) = stream(relayed.head.status, DEPTH);
-    copy_headers(&relayed.head, res.headers_mut());
+/// Starts the response to the caller and forwards the remaining events in a separate task.
+pub(crate) fn stream_response(
+    request: ActiveRequest,
+    response_stream: ResponseStream,
+) -> HttpResponse {
+    let (tx, mut res) = stream(response_stream.head.status, EVENT_BUFFER);
+    copy_headers(&response_stream.head, res.headers_mut());
     tokio::task::spawn_local(async move {
-        let mut life = life;
+        let mut request = request;
         let end = tokio::select! {
-            end = pass_on(&mut life, relayed, &tx) => end,
+            end = forward_stream(&mut request, response_stream, &tx) => end,
             () = tx.closed() => return,
         };
         if let Err(cut) = end {
-            life.log_end(cut.word());
-            // The caller must see that the answer is not whole.
+            request.log_end(cut.outcome());
+            // The caller must be able to detect that the response is incomplete.
             if tx.send(Err(StreamError)).await.is_err() {
-                log::debug!(target: "request", id = life.id(); "caller left before the cut");
+                log::debug!(target: "request", id = request.request_id(); "caller disconnected before the stream was cut off");
             }
             return;
         }
-        life.node.clear_suspect(life.origin.fingerprint);
-        life.log_end("streamed");
+        request.node.clear_suspect(request.original.fingerprint);
+        request.log_end("streamed");
     });
     res
 }
 
-/// Why a stream was cut.
-enum Cut {
+/// Why a stream was cut off.
+enum StreamAbort {
     Deadline,
     Broken,
 }
 
-impl Cut {
-    fn word(&self) -> &'static str {
+impl StreamAbort {
+    fn outcome(&self) -> &'static str {
         match self {
             Self::Deadline => "cut-late",
             Self::Broken => "cut-broken",
@@ -113,94 +116,102 @@
     }
 }
 
-async fn pass_on(life: &mut Life, relayed: Relayed, tx: &StreamSender) -> Result<(), Cut> {
-    let Relayed { mut endpoint, mut placed, mut on, mut events, first, .. } = relayed;
+async fn forward_stream(
+    request: &mut ActiveRequest,
+    response_stream: ResponseStream,
+    tx: &StreamSender,
+) -> Result<(), StreamAbort> {
+    let ResponseStream { mut endpoint, mut tracked, mut dependencies, mut events, first, .. } =
+        response_stream;
     let Some(first) = first else { return Ok(()) };
-    let mut last = first.id.or(life.call.last_event_id);
-    deliver(tx, first).await;
-    life.passed_on(&endpoint.id);
-    life.writes_since = Some(life.node.clock.now());
+    let mut last = first.id.or(request.metadata.last_event_id);
+    send_event(tx, first).await;
+    request.note_forwarded(&endpoint.id);
+    request.streaming_since = Some(request.node.clock.now());
     loop {
-        let by = gap_limit(life);
-        match life.patient(&on, by, events.next()).await {
+        let by = gap_deadline(request);
+        match request.wait_or_replace(&dependencies, by, events.next()).await {
             Ok(Some(event)) => {
                 last = event.id.or(last);
-                deliver(tx, event).await;
-                life.passed_on(&endpoint.id);
+                send_event(tx, event).await;
+                request.note_forwarded(&endpoint.id);
             }
             Ok(None) => return Ok(()),
             Err(why) => {
-                let failed = life.broken(&endpoint, &why);
-                drop((placed, events));
-                let resumed = resume(life, failed, last).await?;
-                Relayed { endpoint, placed, on, events, .. } = resumed;
+                let failure = request.note_run_error(&endpoint, &why);
+                drop((tracked, events));
+                let resumed = resume(request, failure, last).await?;
+                ResponseStream { endpoint, tracked, dependencies, events, .. } = resumed;
                 let Some(next) = resumed.first else { return Ok(()) };
                 last = next.id.or(last);
-                deliver(tx, next).await;
-                life.passed_on(&endpoint.id);
-                life.writes_since = Some(life.node.clock.now());
+                send_event(tx, next).await;
+                request.note_forwarded(&endpoint.id);
+                request.streaming_since = Some(request.node.clock.now());
             }
         }
     }
 }
 
-async fn deliver(tx: &StreamSender, event: Event) {
+async fn send_event(tx: &StreamSender, event: Event) {
     if tx.send(Ok(Bytes::from(event.bytes))).await.is_err() {
-        // The task ends as soon as it sees that the caller has left.
+        // The task ends as soon as it notices that the caller has disconnected.
         std::future::pending::<()>().await;
     }
 }
 
-fn gap_limit(life: &Life) -> Timestamp {
-    let deadline = life.attempts.deadline();
-    if life.is_long_to_read_twice() {
+fn gap_deadline(request: &ActiveRequest) -> Timestamp {
+    let deadline = request.attempts.deadline();
+    if request.is_too_long_to_rerun() {
         return deadline;
     }
-    let gap = life.terms.route.gap_aim.unwrap_or(life.terms.route.aim);
-    deadline.min(life.node.clock.now() + (gap * GAP_FACTOR).max(GAP_SILENCE))
+    let gap = request.config.route.gap_aim.unwrap_or(request.config.route.aim);
+    deadline.min(request.node.clock.now() + (gap * GAP_FACTOR).max(GAP_SILENCE_TIMEOUT))
 }
 
-/// Goes on after `last` at another engine.
+/// Resumes the stream after `last` on another engine.
 async fn resume(
-    life: &mut Life,
-    mut failed: Failed,
+    request: &mut ActiveRequest,
+    mut failure: SendFailure,
     last: Option<EventId>,
-) -> Result<Relayed, Cut> {
+) -> Result<ResponseStream, StreamAbort> {
     loop {
-        if life.node.clock.now() >= life.attempts.deadline() {
-            return Err(Cut::Deadline);
+        if request.node.clock.now() >= request.attempts.deadline() {
+            return Err(StreamAbort::Deadline);
         }
-        let goes_on = match failed {
-            Failed::Replaced => true,
-            Failed::Send(end) => life.next(end) == NextStep::Retry,
-            Failed::NoMemory => life.wait_for_memory().await,
-            Failed::NoEndpoint
-            | Failed::NoTurn
-            | Failed::Held
-            | Failed::NoArbiter
-            | Failed::Limited(_)
-            | Failed::BackingOff(_)
-            | Failed::Stopping
-            | Failed::Cut => false,
+        let can_resume = match failure {
+            SendFailure::Replaced => true,
+            SendFailure::Send(end) => request.after_send(end) == NextStep::Retry,
+            SendFailure::NoMemory => request.wait_for_memory().await,
+            SendFailure::NoEndpoint
+            | SendFailure::TurnExpired
+            | SendFailure::Held
+            | SendFailure::NoArbiter
+            | SendFailure::Limited(_)
+            | SendFailure::BackingOff(_)
+            | SendFailure::Stopping
+            | SendFailure::Aborted => false,
         };
-        if !goes_on || last.is_none() {
-            return Err(Cut::Broken);
+        if !can_resume || last.is_none() {
+            return Err(StreamAbort::Broken);
         }
-        match resume_once(life, last).await {
-            Ok(relayed) => return Ok(relayed),
-            Err(why) => failed = why,
+        match resume_once(request, last).await {
+            Ok(stream) => return Ok(stream),
+            Err(why) => failure = why,
         }
     }
 }
 
-async fn resume_once(life: &mut Life, last: Option<EventId>) -> Result<Relayed, Failed> {
-    let sent = life.schedule(true).await?;
-    let run = life.start(sent, last).await?;
-    let (run, began) = life.only(run).await?;
-    let Began { head, facts, rest } = began;
-    life.check(&run.endpoint, &facts, head.status)?;
-    match rest {
-        Rest::Events(events, first) => Ok(run.into_stream(head, events, first)),
-        Rest::Body(_) => Err(Failed::Send(SendOutcome::FailedAnswer)),
+async fn resume_once(
+    request: &mut ActiveRequest,
+    last: Option<EventId>,
+) -> Result<ResponseStream, SendFailure> {
+    let sent = request.schedule(true).await?;
+    let run = request.start(sent, last).await?;
+    let (run, started) = request.await_response(run).await?;
+    let ResponseStart { head, response, body } = started;
+    request.check_response(&run.endpoint, &response, head.status)?;
+    match body {
+        ResponseBody::EventStream(events, first) => Ok(run.into_stream(head, events, first)),
+        ResponseBody::Body(_) => Err(SendFailure::Send(SendOutcome::FailedAnswer)),
     }
 }
--- a/crates/ringbend-relay/src/suspects.rs
+++ b/crates/ringbend-relay/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of suspected requests, and where those run.
+//! Distribution of suspected requests among instances, and their placement.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -11,246 +11,267 @@
 use ringbend_wire::{LoadDigest, Suspicion, decode_suspicion, encode_suspicion};
 
 use crate::node::Node;
-use crate::placing::{Counted, Denied, Unplaced};
+use crate::placement::{NotPlaced, PermitAuthority, PlacementError};
 
-/// The most suspects told in one datagram, so that it stays well below what is read.
-const TOLD_AT_ONCE: usize = 64;
+/// Maximum number of suspects per datagram, so that it stays well below the receive buffer.
+const MAX_PER_DATAGRAM: usize = 64;
 
-/// How often it is looked whether a suspect still runs elsewhere. A run that ends well takes some tens of
-/// milliseconds at least.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between checks whether a suspect still runs elsewhere. A run that ends well takes at
+/// least some tens of milliseconds.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long after one try of a suspect the next one is sent if the first has not ended. One that ends its engine does
-/// so within a third of this; one that hangs, or whose instance is frozen, must not keep all that send the same
-/// call waiting. Those that wait go one by one, or as soon as one of them has ended well.
-const OTHER_TRY_TIME: Duration = Duration::from_millis(250);
+/// How long after one run of a suspect the next one is sent if the first has not ended. A suspect
+/// that crashes its engine does so within a third of this time. One that hangs, or whose instance
+/// is frozen, must not block all callers that send the same request. Waiting runs are sent one by
+/// one, or at once when one of them has ended well.
+const CONCURRENT_RUN_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a suspect with two strikes looks for an instance that places it. Three schedulers are asked one after the
-/// other in 120 ms, and an instance that hears none any more takes up scheduling after 300; who has none by then comes
-/// back later rather than wait for instances that are paused.
-const ARBITER_TIME: Duration = Duration::from_millis(500);
+/// How long a suspect with two strikes waits for an arbiter. Asking three schedulers in turn takes
+/// 120 ms, and an instance that receives nothing from schedulers becomes one itself after 300 ms. A
+/// request that has no arbiter by then is refused and retried later, rather than wait for instances
+/// that are paused.
+const ARBITER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// What follows for a request from what is known of it here.
-    pub(crate) fn suspect_state(&self, of: Fingerprint) -> SuspectState {
-        self.quarantine.borrow().state(of)
+    /// How a request has to be treated according to this instance's knowledge.
+    pub(crate) fn suspect_state(&self, fingerprint: Fingerprint) -> SuspectState {
+        self.quarantine.borrow().state(fingerprint)
     }
 
-    /// Writes the line of what is now known of a request, marks its runs here, and has others told.
-    pub(crate) fn changed_suspect(&self, of: Fingerprint, for_all: bool) {
-        let state = self.suspect_state(of);
-        let known = self.quarantine.borrow().get(of).cloned();
+    /// Logs the current state of a suspected request, marks its runs on this instance and queues
+    /// the state for other instances.
+    pub(crate) fn publish_suspect(&self, fingerprint: Fingerprint, for_all: bool) {
+        let state = self.suspect_state(fingerprint);
+        let known = self.quarantine.borrow().get(fingerprint).cloned();
         let ended = known.iter().flat_map(|s| &s.ended).map(|p| p.endpoint.as_str());
         let ended = ended.collect::<Vec<_>>().join(" ");
         let (round, tries) = known.as_ref().map_or((0, 0), |s| (s.round, s.tries));
-        log::info!(target: "suspects", fingerprint:% = of, state:?, ended, round, tries; "suspect");
+        log::info!(target: "suspects", fingerprint:% = fingerprint, state:?, ended, round, tries; "suspect state changed");
         self.metrics.held_requests.set(self.quarantine.borrow().held_count() as i64);
         {
             let mut outbox = self.outbox.borrow_mut();
-            outbox.local_suspicions.push(of);
+            outbox.local_suspicions.push(fingerprint);
             if for_all {
-                outbox.suspicions.push(of);
+                outbox.suspicions.push(fingerprint);
             }
             if state != SuspectState::Clear {
-                let sends = self.sends.borrow();
-                for (id, _) in sends.iter().filter(|(_, fingerprint)| **fingerprint == of) {
-                    self.load.borrow_mut().mark_suspect(*id, of);
+                let sends = self.open_sends.borrow();
+                for (id, _) in sends.iter().filter(|(_, sent)| **sent == fingerprint) {
+                    self.load.borrow_mut().mark_suspect(*id, fingerprint);
                     outbox.placed.push(*id);
                 }
             }
         }
-        self.signals.now.notify_one();
+        self.flush.immediate.notify_one();
         if state == SuspectState::Held {
-            self.held_news.notify_waiters();
+            self.request_held.notify_waiters();
         }
     }
 
-    /// Notes that a run of a request ended well.
-    pub(crate) fn clear_suspect(self: &Rc<Self>, of: Fingerprint) {
-        let was_grave = self.quarantine.borrow().get(of).is_some_and(|s| s.is_severe());
-        if self.quarantine.borrow_mut().clear(self.clock.now(), of) {
-            self.changed_suspect(of, true);
-            if was_grave {
-                self.unkeep_suspect(of);
+    /// Records that a run of the request ended well.
+    pub(crate) fn clear_suspect(self: &Rc<Self>, fingerprint: Fingerprint) {
+        let was_severe = self.quarantine.borrow().get(fingerprint).is_some_and(|s| s.is_severe());
+        if self.quarantine.borrow_mut().clear(self.clock.now(), fingerprint) {
+            self.publish_suspect(fingerprint, true);
+            if was_severe {
+                self.delete_suspect(fingerprint);
             }
         }
     }
 
-    /// What is known of these requests, as told to others, and what was noted lately.
-    pub(crate) fn told_suspicions(&self, of: &[Fingerprint], now: Timestamp) -> Vec<Suspicion> {
+    /// The state of these requests and all recent changes, encoded for other instances.
+    pub(crate) fn suspicion_updates(
+        &self,
+        fingerprints: &[Fingerprint],
+        now: Timestamp,
+    ) -> Vec<Suspicion> {
         let quarantine = self.quarantine.borrow();
-        let named = of.iter().filter_map(|of| quarantine.get(*of));
-        let recent = quarantine.recent(now).filter(|s| !of.contains(&s.fingerprint));
-        named.chain(recent).take(TOLD_AT_ONCE).map(encode_suspicion).collect()
+        let named = fingerprints.iter().filter_map(|fingerprint| quarantine.get(*fingerprint));
+        let recent = quarantine.recent(now).filter(|s| !fingerprints.contains(&s.fingerprint));
+        named.chain(recent).take(MAX_PER_DATAGRAM).map(encode_suspicion).collect()
     }
 
-    /// All that an instance needs to know which has just started, in as many digests as it takes; none if
-    /// this one does not know it either.
-    pub(crate) fn all_suspects(&self) -> Vec<LoadDigest> {
+    /// Everything that an instance that has just started needs to know, split into digests. Empty
+    /// if this instance does not know the suspects itself.
+    pub(crate) fn suspect_snapshot(&self) -> Vec<LoadDigest> {
         if !self.knows_suspects.get() {
             return Vec::new();
         }
         let all: Vec<Suspicion> =
             self.quarantine.borrow().for_starting().map(encode_suspicion).collect();
         let digest = |part: &[Suspicion]| LoadDigest { suspicions: part.to_vec(), ..self.digest() };
-        let mut digests: Vec<LoadDigest> = all.chunks(TOLD_AT_ONCE).map(digest).collect();
+        let mut digests: Vec<LoadDigest> = all.chunks(MAX_PER_DATAGRAM).map(digest).collect();
         let last = digests.pop().unwrap_or_else(|| self.digest());
         digests.push(LoadDigest { knows_suspects: true, ..last });
         digests
     }
 
-    /// Takes in what another instance knows of suspects. What one that does not schedule tells is told on
-    /// to all, what a scheduler tells to those that do not schedule.
-    pub(crate) fn note_suspicions(&self, digest: &LoadDigest, from_scheduler: bool) {
+    /// Merges suspects known to another instance. Those from a member are forwarded to all
+    /// instances, those from a scheduler to the members.
+    pub(crate) fn merge_suspicions(&self, digest: &LoadDigest, from_scheduler: bool) {
         let now = self.clock.now();
         for told in &digest.suspicions {
             match decode_suspicion(told) {
-                Ok(told) => {
-                    if self.quarantine.borrow_mut().merge(now, &told) {
-                        self.changed_suspect(told.fingerprint, !from_scheduler);
+                Ok(suspicion) => {
+                    if self.quarantine.borrow_mut().merge(now, &suspicion) {
+                        self.publish_suspect(suspicion.fingerprint, !from_scheduler);
                     }
                 }
-                Err(e) => log::warn!(target: "peers", error:% = e; "suspicion refused"),
+                Err(e) => log::warn!(target: "peers", error:% = e; "invalid suspicion in digest"),
             }
         }
         if digest.knows_suspects {
-            self.know_suspects("another instance");
+            self.note_suspects_known("another instance");
         }
     }
 
-    /// Notes that this instance knows what there was to know of suspects when it started.
-    pub(crate) fn know_suspects(&self, from: &str) {
+    /// Records that this instance has the suspects that were known to others when it started.
+    pub(crate) fn note_suspects_known(&self, from: &str) {
         if !self.knows_suspects.replace(true) {
             let held = self.quarantine.borrow().held_count();
-            log::info!(target: "suspects", from, held; "suspects known");
-            self.begun.notify_waiters();
-            self.tell_started();
+            log::info!(target: "suspects", from, held; "suspects loaded");
+            self.startup_progress.notify_waiters();
+            self.send_suspects_to_started();
         }
     }
 
-    /// Tells those that may have started together with this one what it has just learnt.
-    fn tell_started(&self) {
-        if !self.schedules() {
+    /// Sends the suspects just learnt to instances that may have started at the same time.
+    fn send_suspects_to_started(&self) {
+        if !self.is_scheduler() {
             return;
         }
-        let (now, digests) = (self.clock.now(), self.all_suspects());
+        let (now, digests) = (self.clock.now(), self.suspect_snapshot());
         let peers = self.peers.borrow();
         let others: Vec<SocketAddrV4> =
             peers.members(now).chain(peers.other_schedulers(now)).collect();
         drop(peers);
-        digests.iter().for_each(|digest| self.tell_all(digest, others.iter().copied()));
+        digests.iter().for_each(|digest| self.send_digest_to_all(digest, others.iter().copied()));
     }
 
-    /// Waits until a request is held.
-    pub(crate) async fn held(&self, of: Fingerprint) {
+    /// Waits until the request is held.
+    pub(crate) async fn wait_until_held(&self, fingerprint: Fingerprint) {
         loop {
-            let mut told = std::pin::pin!(self.held_news.notified());
-            // What is held from here on is told.
-            told.as_mut().enable();
-            if self.suspect_state(of) == SuspectState::Held {
+            let mut notified = std::pin::pin!(self.request_held.notified());
+            // Registered before the check, so that no notification in between is missed.
+            notified.as_mut().enable();
+            if self.suspect_state(fingerprint) == SuspectState::Held {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 
-    /// Has a suspect placed by the instance that places all suspects of its service, or by the next one where
-    /// that is silent. Where none answers, one strike does not keep it from being served; two do after a while.
+    /// Has a suspect placed by the arbiter of its service, or by the next one if that does not
+    /// reply. If no arbiter replies, a request with one strike is served anyway; one with two
+    /// strikes is refused after a while.
     pub(crate) async fn schedule_suspect(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-        of: Fingerprint,
-    ) -> Result<Placement, Denied> {
-        let until = (self.clock.now() + ARBITER_TIME).min(job.caller_timeout_at).min(job.deadline);
+        fingerprint: Fingerprint,
+    ) -> Result<Placement, PlacementError> {
+        let until =
+            (self.clock.now() + ARBITER_TIMEOUT).min(job.caller_timeout_at).min(job.deadline);
         loop {
             let now = self.clock.now();
             let arbiter = self.peers.borrow().arbiter(now, &job.service, &[]);
             match arbiter {
-                Some(Arbiter::Local) => return self.place_suspect(id, job, engine, of).await,
+                Some(Arbiter::Local) => {
+                    return self.place_suspect(id, job, engine, fingerprint).await;
+                }
                 Some(Arbiter::Remote(_)) => {
                     let next = |peers: &Peers, now, asked: &[SocketAddrV4]| {
                         peers.arbiter(now, &job.service, asked).and_then(Arbiter::address)
                     };
-                    if let Some(answer) = self.ask(id, job, next).await {
+                    if let Some(answer) = self.request_placement(id, job, next).await {
                         return answer;
                     }
                 }
                 None => {}
             }
-            match self.suspect_state(of) {
+            match self.suspect_state(fingerprint) {
                 SuspectState::Clear | SuspectState::Suspect(1) => {
-                    log::info!(target: "request", id = job.request.as_ref(); "suspect without arbiter");
-                    return self.place_in_turn(id, job, engine, Counted::ByOne).await;
+                    log::info!(target: "request", id = job.request.as_ref(); "no arbiter replied; placing suspect locally");
+                    return self
+                        .place_when_due(id, job, engine, PermitAuthority::Coordinator)
+                        .await;
                 }
-                SuspectState::Held => return Err(Denied::Held),
-                SuspectState::Suspect(_) if now >= until => return Err(Denied::NoArbiter),
-                SuspectState::Suspect(_) => tokio::time::sleep(LOOK).await,
+                SuspectState::Held => return Err(PlacementError::Held),
+                SuspectState::Suspect(_) if now >= until => return Err(PlacementError::NoArbiter),
+                SuspectState::Suspect(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// Whether there is an endpoint where a suspect may run; also if there is none at all.
-    fn has_room_apart(&self, id: WorkId, job: &Job) -> bool {
+    /// Whether an endpoint is available on which the suspect may run; also true if the service has
+    /// no endpoint at all.
+    fn has_endpoint_without_suspects(&self, id: WorkId, job: &Job) -> bool {
         let service = &job.service;
         let is_empty =
             self.directory.borrow().of_service(self.clock.now(), service).next().is_none();
         is_empty
-            || self.decide(job, &self.closed_to(id, job), |_, candidates| !candidates.is_empty())
+            || self.with_view(job, &self.endpoints_without_permit(id, job), |_, candidates| {
+                !candidates.is_empty()
+            })
     }
 
-    /// Whether the request may be put on an endpoint beside the suspects that run there.
+    /// Whether the request may run on the endpoint, given the suspects that already run there.
     pub(crate) fn may_run_on(&self, job: &Job, endpoint: &Endpoint) -> bool {
-        let Some(of) = job.suspect else { return true };
+        let Some(fingerprint) = job.suspect else { return true };
         let load = self.load.borrow();
         self.quarantine
             .borrow()
-            .may_run_beside(of, load.suspects_on(self.clock.now(), &endpoint.id))
+            .may_run_beside(fingerprint, load.suspects_on(self.clock.now(), &endpoint.id))
     }
 
-    /// Whether a suspect may be sent now: it was cleared, or no other try of it was sent lately and is open, and there
-    /// is an endpoint for it apart from other suspects.
-    fn may_place_suspect(&self, id: WorkId, job: &Job, of: Fingerprint) -> Result<bool, Denied> {
-        match self.suspect_state(of) {
+    /// Whether a suspect may be sent now: it was cleared, or no other run of it was sent recently
+    /// and is still open, and there is an endpoint without other suspects.
+    fn may_place_suspect(
+        &self,
+        id: WorkId,
+        job: &Job,
+        fingerprint: Fingerprint,
+    ) -> Result<bool, PlacementError> {
+        match self.suspect_state(fingerprint) {
             SuspectState::Clear => Ok(true),
-            SuspectState::Held => Err(Denied::Held),
+            SuspectState::Held => Err(PlacementError::Held),
             SuspectState::Suspect(_) => {
-                let last = self.load.borrow().last_placed(of);
+                let last = self.load.borrow().last_placed(fingerprint);
                 let now = self.clock.now();
-                let is_alone = last.is_none_or(|at| now.since(at) >= OTHER_TRY_TIME);
-                Ok(is_alone && self.has_room_apart(id, job))
+                let is_alone = last.is_none_or(|at| now.since(at) >= CONCURRENT_RUN_DELAY);
+                Ok(is_alone && self.has_endpoint_without_suspects(id, job))
             }
         }
     }
 
-    /// Places a suspect once it may be sent.
+    /// Places a suspect as soon as it may be sent.
     pub(crate) async fn place_suspect(
         self: &Rc<Self>,
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-        of: Fingerprint,
-    ) -> Result<Placement, Denied> {
+        fingerprint: Fingerprint,
+    ) -> Result<Placement, PlacementError> {
         self.wait_for_turn(id, job, engine).await?;
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         let until = job.caller_timeout_at.min(job.deadline);
         let placement = loop {
-            if self.may_place_suspect(id, job, of)? {
-                match self.place_now(id, job, engine) {
+            if self.may_place_suspect(id, job, fingerprint)? {
+                match self.try_place(id, job, engine) {
                     Ok(placement) => break placement,
-                    Err(Unplaced::NoEndpoint) => return Err(Denied::NoEndpoint),
-                    Err(Unplaced::Elsewhere) => {}
+                    Err(NotPlaced::NoEndpoint) => return Err(PlacementError::NoEndpoint),
+                    Err(NotPlaced::MustWait) => {}
                 }
             }
             if self.clock.now() >= until {
-                return Err(Denied::NoTurn);
+                return Err(PlacementError::TurnExpired);
             }
-            self.may_wait(job, until)?;
-            tokio::time::sleep(LOOK).await;
+            self.check_permit_wait(job, until)?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         };
-        let waited_ms = self.clock.now().since(began).as_millis() as u64;
-        log::info!(target: "request", id = job.request.as_ref(), fingerprint:% = of, waited_ms; "suspect placed");
+        let waited_ms = self.clock.now().since(started_at).as_millis() as u64;
+        log::info!(target: "request", id = job.request.as_ref(), fingerprint:% = fingerprint, waited_ms; "suspect placed");
         Ok(placement)
     }
 }
--- /dev/null
+++ b/crates/ringbend-relay/src/table_copies.rs
@@ -0,0 +1,283 @@
+//! The copies of the two watched tables: the configuration and the directory of endpoints.
+
+use std::time::Duration;
+
+use rand::Rng;
+
+use ringbend_gateway::{
+    Endpoint, EndpointChange, MEMBER_READ_AGE_MS, OfferResult, Proof, READ_AGE_MS, Snapshot,
+};
+use ringbend_wire::{EndpointChanges, encode_endpoint_change};
+
+use crate::node::Node;
+use crate::peer_copies;
+use crate::ports::{ConfigItem, Cursor};
+use crate::watch::{ReadFrom, TableCopy};
+
+/// The wait requested from the store by the reader of the configuration. Its responses prove the
+/// copies of all instances current, so this is how old those proofs get.
+const CONFIG_POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// The wait requested from the store by the reader of the endpoints. Nothing depends on when this
+/// table was last proved current. An unavailable store is noticed by the watch of the
+/// configuration, and so is a lost response.
+const ENDPOINTS_POLL_TIMEOUT: Duration = Duration::from_millis(9_000);
+
+/// How long a response about the endpoints may arrive after one about another table: a slow store
+/// takes up to a third of a second.
+const OVERTAKEN_GRACE: Duration = Duration::from_millis(350);
+
+/// Maximum number of endpoint changes sent to others in one datagram; if there are more, they fetch
+/// the table.
+const MAX_GOSSIPED_CHANGES: usize = 12;
+
+/// The copy of the configuration.
+pub(crate) struct ConfigCopy;
+
+impl ConfigCopy {
+    /// Activates a configuration if it is newer.
+    pub(crate) fn activate(node: &Node, item: ConfigItem) {
+        let snapshot = Snapshot::new(item.parts);
+        let (version, routes) = (snapshot.version, snapshot.route_count());
+        match node.replica.borrow_mut().offer(snapshot) {
+            OfferResult::Newer { before } => {
+                let before = before.map_or(0, |v| v.0);
+                *node.encoded_config.borrow_mut() = Some(item.raw);
+                // Other instances can fetch it from this one.
+                node.flush.batched.notify_one();
+                node.metrics.settings_version.set(i64::try_from(version.0).unwrap_or(i64::MAX));
+                log::info!(target: "config", version = version.0, before, routes; "configuration activated");
+            }
+            OfferResult::Same => {}
+            OfferResult::Older => {
+                log::warn!(target: "config", version = version.0; "ignoring configuration older than the active one");
+            }
+        }
+    }
+}
+
+impl TableCopy<ConfigItem, ConfigItem> for ConfigCopy {
+    const NAME: &'static str = "config";
+
+    /// A tenth of the time within which a configuration must be active.
+    const BATCH_DELAY: Duration = Duration::from_millis(200);
+
+    const DETECTS_OUTAGES: bool = true;
+
+    fn replace(&self, node: &Node, items: Vec<ConfigItem>, cursor: Cursor) {
+        self.apply(node, items, cursor);
+    }
+
+    fn apply(&self, node: &Node, items: Vec<ConfigItem>, cursor: Cursor) {
+        node.config_cursor.set(node.config_cursor.get().max(cursor));
+        node.store_read.notify_waiters();
+        items.into_iter().for_each(|item| Self::activate(node, item));
+    }
+
+    /// Reads the store as long as no other instance does; otherwise only when the copy has become
+    /// old.
+    async fn next_read(&self, node: &Node) -> ReadFrom {
+        leave_reading_to_others(node);
+        if node.readers.borrow().reads() {
+            return ReadFrom::Store(CONFIG_POLL_TIMEOUT);
+        }
+        let ages = if node.is_scheduler() { READ_AGE_MS } else { MEMBER_READ_AGE_MS };
+        let age_ms = node.rng.borrow_mut().random_range(ages);
+        loop {
+            let proved_at = node.replica.borrow().proved_at();
+            let since = proved_at.unwrap_or(node.clock.started_at());
+            let due = since + Duration::from_millis(age_ms);
+            if node.clock.now() >= due {
+                log::info!(target: "store", age_ms; "copy is old; reading from the store");
+                node.readers.borrow_mut().begin();
+                node.started_reading.notify_waiters();
+                return ReadFrom::Store(Duration::ZERO);
+            }
+            tokio::select! {
+                () = node.clock.sleep_until(due) => {}
+                () = self.wait_for_newer(node) => return ReadFrom::Peers,
+            }
+        }
+    }
+
+    /// Also while this instance reads the store: its call may hang while those of others succeed.
+    async fn wait_for_newer(&self, node: &Node) {
+        peer_copies::newer_config(node).await;
+    }
+
+    async fn fetch_newer(&self, node: &Node) -> bool {
+        peer_copies::config(node).await
+    }
+
+    /// Calls for this table wait for a second at most.
+    async fn overtaken(&self, _: &Node, _: Cursor) {
+        std::future::pending().await
+    }
+
+    fn known_cursor(&self, node: &Node) -> Cursor {
+        node.config_cursor.get()
+    }
+
+    async fn first_copy(&self, node: &Node) -> Option<Cursor> {
+        peer_copies::first_config(node).await.then(|| node.config_cursor.get())
+    }
+
+    fn note_invalid_row(&self, node: &Node) {
+        node.replica.borrow_mut().mark_unreadable();
+    }
+
+    fn prove(&self, node: &Node, proof: Proof, paired: bool) {
+        node.replica.borrow_mut().prove(proof, paired);
+        if let Some(proved_at) = node.replica.borrow().proved_at() {
+            node.readers.borrow_mut().proved_by(node.incarnation(), proved_at);
+        }
+        node.startup_progress.notify_waiters();
+        if node.readers.borrow().reads() {
+            // The read proves the copies of all other instances current.
+            node.flush.immediate.notify_one();
+        }
+    }
+
+    fn on_store_recovered(&self, _: &Node) {}
+}
+
+/// Stops reading if the store is unavailable and another instance has proved the copy current
+/// since. This instance must receive that reader's updates at once, not only after its own next
+/// call to the store.
+pub(crate) fn leave_reading_to_others(node: &Node) {
+    let proved_at = node.replica.borrow().proved_at();
+    if node.readers.borrow_mut().yield_to_others(node.store_lost_at.get(), proved_at) {
+        log::info!(target: "store", reads = false; "leaving reads to instances that reach the store");
+        node.stopped_reading.notify_waiters();
+    }
+}
+
+/// The copy of the endpoint table.
+pub(crate) struct EndpointCopy;
+
+/// Applies endpoint changes up to `cursor`, from the store or from gossip.
+pub(crate) fn apply_endpoints(node: &Node, changes: Vec<EndpointChange>, cursor: Cursor) {
+    let now = node.clock.now();
+    for change in changes {
+        EndpointCopy::log(&change);
+        let ended = node.directory.borrow_mut().apply(now, change);
+        node.handle_ended_endpoints(&ended);
+    }
+    node.endpoints_cursor.set(node.endpoints_cursor.get().max(cursor));
+    let directory = node.directory.borrow();
+    node.health.borrow_mut().retain(|id| directory.get(id).is_some());
+}
+
+impl EndpointCopy {
+    fn log(change: &EndpointChange) {
+        match change {
+            EndpointChange::Present(e) => {
+                let (id, service, leaving) = (&e.id, &e.service, e.leaving);
+                log::info!(target: "endpoints", endpoint:% = id, service:%, leaving; "endpoint registered");
+            }
+            EndpointChange::Gone(id) => {
+                log::info!(target: "endpoints", endpoint:% = id; "endpoint removed");
+            }
+            EndpointChange::Unreadable(id) => {
+                log::info!(target: "endpoints", endpoint:% = id; "endpoint row unreadable");
+            }
+        }
+    }
+}
+
+impl TableCopy<Endpoint, EndpointChange> for EndpointCopy {
+    const NAME: &'static str = "endpoints";
+
+    /// Half of the time within which a leaving endpoint must be known. A fleet that starts, or
+    /// whose endpoints come and go, changes many times per second, and each response costs a call
+    /// per instance.
+    const BATCH_DELAY: Duration = Duration::from_millis(400);
+
+    const DETECTS_OUTAGES: bool = false;
+
+    fn replace(&self, node: &Node, items: Vec<Endpoint>, cursor: Cursor) {
+        let now = node.clock.now();
+        let (before, count) = (node.directory.borrow().len(), items.len());
+        log::info!(target: "endpoints", before, count; "endpoint table read");
+        let ended = node.directory.borrow_mut().replace(now, items);
+        node.handle_ended_endpoints(&ended);
+        node.endpoints_cursor.set(cursor);
+        node.startup_progress.notify_waiters();
+    }
+
+    fn apply(&self, node: &Node, items: Vec<EndpointChange>, cursor: Cursor) {
+        if items.is_empty() {
+            // A reader reports its position to others, so it keeps that of the last change.
+            if !node.readers.borrow().reads() {
+                node.endpoints_cursor.set(node.endpoints_cursor.get().max(cursor));
+            }
+            return;
+        }
+        if node.readers.borrow().reads() && items.len() <= MAX_GOSSIPED_CHANGES {
+            let from_cursor = node.endpoints_cursor.get().0;
+            let rows = items.iter().map(encode_endpoint_change).collect();
+            let changes = EndpointChanges { from_cursor, to_cursor: cursor.0, rows };
+            *node.endpoint_changes.borrow_mut() = Some(changes);
+        }
+        apply_endpoints(node, items, cursor);
+        node.flush.immediate.notify_one();
+    }
+
+    /// Reads the store while this instance is the reader of the configuration.
+    async fn next_read(&self, node: &Node) -> ReadFrom {
+        loop {
+            if node.readers.borrow().reads() {
+                return ReadFrom::Store(ENDPOINTS_POLL_TIMEOUT);
+            }
+            tokio::select! {
+                () = node.started_reading.notified() => {}
+                () = self.wait_for_newer(node) => return ReadFrom::Peers,
+            }
+        }
+    }
+
+    /// Not while this instance reads the store: it keeps the position of the last change that it
+    /// read, and others may be ahead of that.
+    async fn wait_for_newer(&self, node: &Node) {
+        while node.readers.borrow().reads() {
+            node.stopped_reading.notified().await;
+        }
+        peer_copies::newer_endpoints(node).await;
+    }
+
+    async fn fetch_newer(&self, node: &Node) -> bool {
+        node.readers.borrow().reads() || peer_copies::endpoints(node).await
+    }
+
+    /// The store numbers the changes of all its tables together, and responds at once when there is
+    /// one. If a call is still open well after a read of another table has passed its position, its
+    /// response may be lost.
+    async fn overtaken(&self, node: &Node, from: Cursor) {
+        loop {
+            let mut read = std::pin::pin!(node.store_read.notified());
+            // Registered before the check, so that no notification in between is missed.
+            read.as_mut().enable();
+            if node.config_cursor.get() > from {
+                tokio::time::sleep(OVERTAKEN_GRACE).await;
+                return;
+            }
+            read.await;
+        }
+    }
+
+    fn known_cursor(&self, node: &Node) -> Cursor {
+        node.endpoints_cursor.get()
+    }
+
+    async fn first_copy(&self, node: &Node) -> Option<Cursor> {
+        peer_copies::first_endpoints(node).await.then(|| node.endpoints_cursor.get())
+    }
+
+    fn note_invalid_row(&self, _: &Node) {}
+
+    fn prove(&self, _: &Node, _: Proof, _: bool) {}
+
+    fn on_store_recovered(&self, node: &Node) {
+        node.directory.borrow_mut().store_recovered(node.clock.now());
+    }
+}
--- a/crates/ringbend-relay/src/relayed.rs
+++ b/crates/ringbend-relay/src/table_gossip.rs
@@ -1,5 +1,4 @@
-//! What other instances tell of the watched tables: how current their copies are, and endpoint
-//! changes.
+//! Gossip about the watched tables: how current the copies are, and endpoint changes.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,13 +9,13 @@
     Currency, EndpointChanges, LoadDigest, WireError, decode_endpoint_change, decode_role,
 };
 
-use crate::copies::{apply_endpoints, leave_reading_to_others};
 use crate::node::Node;
 use crate::ports::Cursor;
+use crate::table_copies::{apply_endpoints, leave_reading_to_others};
 
-/// A copy that was proved later by less than this is not told of by itself: a reader proves it once a
-/// second.
-pub(crate) const PROOF_STEP: Duration = Duration::from_millis(300);
+/// A copy's proof of currency is not sent on its own if it has advanced by less than this. A reader
+/// renews it once per second.
+pub(crate) const MIN_PROOF_ADVANCE: Duration = Duration::from_millis(300);
 
 /// How current this instance's copies are.
 pub(crate) fn currency(node: &Node) -> Option<Currency> {
@@ -29,49 +28,50 @@
     })
 }
 
-/// Whose reading proved this instance's copy last.
+/// The instance whose read last proved this instance's copy current.
 fn reader(node: &Node) -> Option<u64> {
     let readers = node.readers.borrow();
-    // One that does not reach the store must not keep others from reading.
+    // A reader that cannot reach the store must not keep others from reading.
     let reads = readers.reads() && node.store_lost_at.get().is_none();
     if reads { Some(node.incarnation()) } else { readers.reader() }
 }
 
-/// Takes in what a digest tells.
-pub(crate) fn take_in(node: &Node, now: Timestamp, from: SocketAddrV4, digest: &LoadDigest) {
+/// Processes the part of a digest about the watched tables.
+pub(crate) fn handle_digest(node: &Node, now: Timestamp, from: SocketAddrV4, digest: &LoadDigest) {
     if let Some(changes) = &digest.endpoint_changes
-        && take_in_changes(node, changes)
-        && node.schedules()
+        && apply_changes(node, changes)
+        && node.is_scheduler()
     {
-        tell_on(node, now, from, decode_role(digest) == Role::Scheduler, changes);
+        forward_changes(node, now, from, decode_role(digest) == Role::Scheduler, changes);
     }
     if let Some(currency) = &digest.currency {
-        note_holder(node, from, currency);
-        take_in_currency(node, now, digest.incarnation, currency);
+        note_peer_versions(node, from, currency);
+        apply_currency(node, now, digest.incarnation, currency);
     }
 }
 
-/// Tells the instances of this data centre of changes, and other schedulers if none of them has.
-fn tell_on(
+/// Forwards changes to the members of this data centre, and to the other schedulers if the sender
+/// is a member.
+fn forward_changes(
     node: &Node,
     now: Timestamp,
     from: SocketAddrV4,
     from_scheduler: bool,
     changes: &EndpointChanges,
 ) {
-    let told = LoadDigest { endpoint_changes: Some(changes.clone()), ..node.digest() };
+    let digest = LoadDigest { endpoint_changes: Some(changes.clone()), ..node.digest() };
     let peers = node.peers.borrow();
-    node.tell_all(&told, peers.members(now).filter(|address| *address != from));
+    node.send_digest_to_all(&digest, peers.members(now).filter(|address| *address != from));
     if !from_scheduler {
-        node.tell_all(&told, peers.other_schedulers(now));
+        node.send_digest_to_all(&digest, peers.other_schedulers(now));
     }
 }
 
-/// Whether they were new.
-fn take_in_changes(node: &Node, changes: &EndpointChanges) -> bool {
+/// Returns whether the changes were new.
+fn apply_changes(node: &Node, changes: &EndpointChanges) -> bool {
     let known = node.endpoints_cursor.get();
     let (from, to) = (Cursor(changes.from_cursor), Cursor(changes.to_cursor));
-    // With a gap before them they are left out; the cursor that comes beside them tells of it.
+    // Changes after a gap are ignored; the cursor in the same digest reveals the gap.
     if known >= to || known < from {
         return false;
     }
@@ -83,38 +83,38 @@
             true
         }
         Err(e) => {
-            log::warn!(target: "peers", error:% = e; "relayed endpoints refused");
+            log::warn!(target: "peers", error:% = e; "invalid endpoint changes in digest");
             false
         }
     }
 }
 
-/// Notes what can be had from the sender, and whether it is newer than what is here.
-fn note_holder(node: &Node, from: SocketAddrV4, currency: &Currency) {
+/// Records which versions the sender can serve, and whether they are newer than the local copies.
+fn note_peer_versions(node: &Node, from: SocketAddrV4, currency: &Currency) {
     let config = ConfigVersion(currency.config_version);
-    let holds = CopyVersions { config, endpoints: currency.endpoints_cursor };
-    node.peers.borrow_mut().set_copy_versions(from, holds);
+    let versions = CopyVersions { config, endpoints: currency.endpoints_cursor };
+    node.peers.borrow_mut().set_copy_versions(from, versions);
     if node.replica.borrow().version().is_none_or(|own| config > own) {
-        node.config_news.notify_one();
+        node.newer_config.notify_one();
     }
     if Cursor(currency.endpoints_cursor) > node.endpoints_cursor.get() {
-        node.endpoint_news.notify_one();
+        node.newer_endpoints.notify_one();
     }
 }
 
-fn take_in_currency(node: &Node, now: Timestamp, start: u64, currency: &Currency) {
-    let proved_at = node.readers.borrow().to_own_clock(start, Timestamp(currency.proved_us));
-    // Without a pairing of the clocks nothing is proved.
+fn apply_currency(node: &Node, now: Timestamp, incarnation: u64, currency: &Currency) {
+    let proved_at = node.readers.borrow().to_own_clock(incarnation, Timestamp(currency.proved_us));
+    // Without a pairing of the clocks the message proves nothing.
     let Some(proved_at) = proved_at.filter(|at| *at <= now) else { return };
     let version = ConfigVersion(currency.config_version);
     let before = node.replica.borrow().proved_at().unwrap_or_default();
     node.replica.borrow_mut().prove_at(version, proved_at);
-    node.begun.notify_waiters();
+    node.startup_progress.notify_waiters();
     leave_reading_to_others(node);
     let after = node.replica.borrow().proved_at().unwrap_or_default();
-    if node.schedules() && after.since(before) >= PROOF_STEP {
-        // The instances of this data centre hear of it here.
-        node.signals.soon.notify_one();
+    if node.is_scheduler() && after.since(before) >= MIN_PROOF_ADVANCE {
+        // The members of this data centre learn of it from this instance.
+        node.flush.batched.notify_one();
     }
     let is_same = node.replica.borrow().version() == Some(version);
     let Some(reader) = currency.reader.filter(|_| is_same) else { return };
@@ -124,7 +124,7 @@
     let mut readers = node.readers.borrow_mut();
     readers.proved_by(reader, proved_at);
     if readers.yield_to_reader(reader, now.since(proved_at)) {
-        log::info!(target: "store", reader; "another instance reads");
-        node.ceases_to_read.notify_waiters();
+        log::info!(target: "store", reader; "another instance reads the store");
+        node.stopped_reading.notify_waiters();
     }
 }
