--- a/crates/ringbend-relay/src/active_request.rs
+++ b/crates/ringbend-relay/src/active_request.rs
@@ -134,9 +134,7 @@
             };
             let failure = match sent {
                 Ok(SendSuccess::Complete(res, status)) => return self.finish(res, status.as_str()),
-                Ok(SendSuccess::Stream(stream)) => {
-                    return crate::streams::stream_response(self, *stream);
-                }
+                Ok(SendSuccess::Stream(stream)) => return crate::streams::forward(self, *stream),
                 Err(failure) => failure,
             };
             if let Some(refusal) = self.handle_failure(failure).await {
@@ -257,12 +255,12 @@
     }
 
     /// Records that an event from an endpoint was forwarded to the caller.
-    pub(crate) fn note_forwarded(&mut self, endpoint: &EndpointId) {
+    pub(crate) fn record_forwarded(&mut self, endpoint: &EndpointId) {
         let now = self.node.clock.now();
         match self.delivery.last {
             Some(last) => {
                 self.delivery.longest_gap = self.delivery.longest_gap.max(now.since(last));
-                self.note_pause(endpoint, now.since(last));
+                self.record_pause(endpoint, now.since(last));
             }
             None => {
                 self.delivery.first = Some(now);
@@ -322,7 +320,7 @@
             (std::slice::from_ref(&run.endpoint), self.attempts.deadline());
         let result =
             self.run_until(dependencies, deadline, incoming.read_to_end(MAX_RESPONSE_BYTES)).await;
-        let body = result.map_err(|why| self.note_run_error(&run.endpoint, &why))?;
+        let body = result.map_err(|why| self.record_run_error(&run.endpoint, &why))?;
         let status = head.status;
         let mut res = Response::with_body(status, body.boxed());
         copy_headers(&head, res.headers_mut());
--- a/crates/ringbend-relay/src/admission.rs
+++ b/crates/ringbend-relay/src/admission.rs
@@ -13,8 +13,8 @@
 use crate::active_request::{ActiveRequest, SendFailure};
 use crate::node::Node;
 
-/// Maximum number of closed endpoints listed in a placement request, to bound its datagram. A placement on one that was
-/// not listed is rejected before the send.
+/// Maximum number of closed endpoints listed in a placement request, to bound its datagram. A
+/// placement on one that was not listed is rejected before the send.
 const MAX_CLOSED: usize = 64;
 
 /// Why nothing may be sent to an endpoint.
@@ -54,8 +54,8 @@
         }
     }
 
-    /// The endpoints of a service that this instance must not send to now, and those where the first request after a
-    /// back-off has no response yet, unless no other one is left.
+    /// The endpoints of a service that this instance must not send to now, and those where the
+    /// first request after a back-off has no response yet, unless no other one is left.
     pub(crate) fn closed_endpoints(&self, service: &ServiceName) -> Vec<EndpointId> {
         let (now, backoffs) = (self.clock.now(), self.backoffs.borrow());
         if backoffs.is_empty() {
@@ -93,8 +93,8 @@
         Some(until?.into_iter().min()?.since(now))
     }
 
-    /// The first endpoint of a placement that must not be used for this request. The scheduler may not have received
-    /// the endpoint's signals yet.
+    /// The first endpoint of a placement that must not be used for this request. The scheduler may
+    /// not have received the endpoint's signals yet.
     pub(crate) fn inadmissible(
         &self,
         job: &Job,
@@ -132,7 +132,8 @@
             dependencies.iter().find_map(|e| Some((e.id.clone(), self.node.admission(e).err()?)));
         let Some((endpoint, why)) = rejected else { return Ok(()) };
         if dependencies.first().is_some_and(|lead| lead.id == endpoint) {
-            // The scheduler may not have received the signal yet; a tried endpoint is not chosen again.
+            // The scheduler may not have received the signal yet; a tried endpoint is not chosen
+            // again.
             self.attempts.record_send(&endpoint);
         }
         self.node.metrics.inadmissible();
--- a/crates/ringbend-relay/src/discovery.rs
+++ b/crates/ringbend-relay/src/discovery.rs
@@ -92,7 +92,7 @@
 
 /// Whether an instance of this data centre is known. An instance of another data centre that was
 /// asked while it was starting does not name those here, and sends this one nothing more.
-fn hears_own_data_centre(node: &Node) -> bool {
+fn knows_local_instances(node: &Node) -> bool {
     node.peers.borrow().local_instances(node.clock.now()) > 1
 }
 
@@ -101,7 +101,7 @@
 /// entries unchanged, so one call is enough after the loss of all instances.
 async fn register(node: &Rc<Node>, registry: &dyn InstanceRegistry) -> Result<(), SourceError> {
     let Some(address) = node.peers_address() else { return Ok(()) };
-    if !hears_own_data_centre(node) {
+    if !knows_local_instances(node) {
         read_registry(node, registry).await?;
         if node.registry_records.borrow().is_empty() {
             let wait = node.rng.borrow_mut().random_range(EMPTY_REGISTRY_WAIT_MS);
@@ -124,7 +124,7 @@
         }
     };
     with_timeout(registry.register(&own)).await?;
-    if !hears_own_data_centre(node) {
+    if !knows_local_instances(node) {
         // Of two instances that start together, the one that reads later finds the other.
         read_registry(node, registry).await?;
         greet_own_data_centre(node).await;
@@ -163,28 +163,28 @@
 /// scheduler is known.
 async fn greet_own_data_centre(node: &Rc<Node>) {
     let home = node.cfg.borrow().data_centre.clone();
-    let at_home = ranked_addresses(
+    let local_addresses = ranked_addresses(
         node.registry_records.borrow().iter().filter(|row| is_in_data_centre(row, &home)),
     );
     // Without entries there is no instance to wait for.
-    let rounds = if at_home.is_empty() { 0 } else { GREETING_ROUNDS };
+    let rounds = if local_addresses.is_empty() { 0 } else { GREETING_ROUNDS };
     let mut count = INITIAL_GREETED;
     for _ in 0..rounds {
-        node.greet(&at_home[..count.min(at_home.len())]);
+        node.greet(&local_addresses[..count.min(local_addresses.len())]);
         count *= 2;
         let until = node.clock.now() + GREETING_TIMEOUT;
-        while hears_no_scheduler(node) && node.clock.now() < until {
+        while knows_no_scheduler(node) && node.clock.now() < until {
             tokio::time::sleep(GREETING_TIMEOUT / 12).await;
         }
         node.joined.set(true);
         node.review_role();
-        if !hears_no_scheduler(node) {
+        if !knows_no_scheduler(node) {
             return;
         }
     }
 }
 
-fn hears_no_scheduler(node: &Node) -> bool {
+fn knows_no_scheduler(node: &Node) -> bool {
     node.peers.borrow().local_schedulers(node.clock.now()).is_empty()
 }
 
--- a/crates/ringbend-relay/src/ended_endpoints.rs
+++ b/crates/ringbend-relay/src/ended_endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints whose processes have ended: their work is removed from the load book, and their
+//! Endpoints whose processes have ended: their work is removed from the load tracker, and their
 //! requests are sent elsewhere without waiting for a timeout.
 
 use ringbend_gateway::Endpoint;
@@ -24,7 +24,7 @@
 
     /// Records the process start that an endpoint reports, and informs other instances if it is
     /// new.
-    pub(crate) fn note_endpoint_start(&self, endpoint: &EndpointId, start: EndpointStart) {
+    pub(crate) fn record_endpoint_start(&self, endpoint: &EndpointId, start: EndpointStart) {
         let ended = self.directory.borrow_mut().note_start(endpoint, start);
         if ended.is_empty() {
             return;
--- a/crates/ringbend-relay/src/engine_pace.rs
+++ b/crates/ringbend-relay/src/engine_pace.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records a pause of the stream, and suspects its engine after several long pauses.
-    pub(crate) fn note_pause(&mut self, engine: &EndpointId, pause: Duration) {
+    pub(crate) fn record_pause(&mut self, engine: &EndpointId, pause: Duration) {
         let Some(profile) = self.config.service.engine else { return };
         if self.pauses.note(pause, profile.pass_ms(profile.slots)) {
             self.node.suspect_engine(engine);
@@ -153,7 +153,7 @@
             }
         };
         if let Some(start) = report.start {
-            self.note_endpoint_start(engine, start);
+            self.record_endpoint_start(engine, start);
         }
         if self.apply_pace(engine, report.pace) {
             self.outbox.borrow_mut().paces.push((engine.clone(), report.pace));
--- a/crates/ringbend-relay/src/gossip_receiver.rs
+++ b/crates/ringbend-relay/src/gossip_receiver.rs
@@ -16,9 +16,7 @@
 
 /// Receives digests for as long as the process lives.
 pub(crate) async fn receive_digests(node: Rc<Node>) {
-    let Some(socket) = node.peer_socket.get().map(|peer_socket| peer_socket.socket.clone()) else {
-        return;
-    };
+    let Some(socket) = node.peer_socket.get().map(|peer| peer.socket.clone()) else { return };
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
@@ -214,7 +212,7 @@
     fn apply_restarts(&self, digest: &LoadDigest) {
         for told in &digest.restarts {
             match decode_endpoint_restart(told) {
-                Ok((endpoint, start)) => self.note_endpoint_start(&endpoint, start),
+                Ok((endpoint, start)) => self.record_endpoint_start(&endpoint, start),
                 Err(e) => {
                     log::warn!(target: "peers", error:% = e; "invalid endpoint restart in digest")
                 }
@@ -236,9 +234,9 @@
         let forwards = self.is_scheduler() && !is_scheduler;
         for owners in &digest.work {
             if is_scheduler {
-                self.note_reporter(now, owners.instance, from);
+                self.record_reporter(now, owners.instance, from);
             } else {
-                self.placement_grants.borrow_mut().note_served(owners.instance);
+                self.placement_grants.borrow_mut().record_served(owners.instance);
             }
             self.apply_owner_work(now, owners, forwards);
         }
@@ -261,10 +259,10 @@
     /// Records which scheduler reports an instance's work. A scheduler that plans a long prompt for
     /// another one reports its owner's work as well; the first reporter remains in place as long as
     /// it is alive.
-    fn note_reporter(&self, now: Timestamp, owner: u64, from: SocketAddrV4) {
+    fn record_reporter(&self, now: Timestamp, owner: u64, from: SocketAddrV4) {
         let before = self.placement_grants.borrow().reporter(owner);
         if before.is_none_or(|before| !self.peers.borrow().is_alive(now, before)) {
-            self.placement_grants.borrow_mut().note_reported_by(owner, from);
+            self.placement_grants.borrow_mut().record_reported_by(owner, from);
         }
     }
 
--- a/crates/ringbend-relay/src/gossip_sender.rs
+++ b/crates/ringbend-relay/src/gossip_sender.rs
@@ -260,11 +260,11 @@
     /// All work placed by instances of this data centre, for an instance that becomes scheduler.
     pub(crate) fn work_of_data_centre(&self) -> Vec<OwnersWork> {
         let own = self.incarnation();
-        let at_home =
+        let is_local =
             |id: &WorkId| id.instance == own || self.placement_grants.borrow().serves(id.instance);
         let load = self.load.borrow();
-        let placed = load.open_work().filter(at_home).collect();
-        let waiting = load.waiting().map(|(id, _)| id).filter(at_home).collect();
+        let placed = load.open_work().filter(is_local).collect();
+        let waiting = load.waiting().map(|(id, _)| id).filter(is_local).collect();
         drop(load);
         self.work_updates(&Outbox { placed, waiting, ..Outbox::default() })
     }
--- a/crates/ringbend-relay/src/limits.rs
+++ b/crates/ringbend-relay/src/limits.rs
@@ -17,8 +17,8 @@
 const INFREQUENT_PERIOD: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Processes the rate limit in the response to a request that was sent at `asked`.
-    pub(crate) fn note_limit_signal(
+    /// Processes the rate limit in the response to a request that was sent at `sent_at`.
+    pub(crate) fn record_limit_signal(
         &self,
         endpoint: &Endpoint,
         sent_at: Timestamp,
@@ -42,9 +42,9 @@
         let known = limits.known(endpoint);
         let rate = known.and_then(|known| known.rate);
         let version = known.map_or(0, |known| known.version);
-        let (named, limited) = (rate.as_ref().map(RequestRate::to_string), limits.len());
+        let (rate_text, limited) = (rate.as_ref().map(RequestRate::to_string), limits.len());
         log::info!(
-            target: "limits", endpoint:%, rate = named.as_deref().unwrap_or("none"), version, from, limited;
+            target: "limits", endpoint:%, rate = rate_text.as_deref().unwrap_or("none"), version, from, limited;
             "rate limit changed"
         );
         self.metrics.limited_endpoints.set(limited as i64);
@@ -67,9 +67,9 @@
         now: Timestamp,
     ) -> Vec<EndpointLimit> {
         let limits = self.limits.borrow();
-        let named = endpoints.iter().filter_map(|endpoint| limits.known(endpoint));
+        let requested = endpoints.iter().filter_map(|endpoint| limits.known(endpoint));
         let recent = limits.recent(now).filter(|known| !endpoints.contains(&known.endpoint));
-        named.chain(recent).take(MAX_PER_DATAGRAM).map(encode_limit).collect()
+        requested.chain(recent).take(MAX_PER_DATAGRAM).map(encode_limit).collect()
     }
 
     /// All limits, for an instance that has just started.
--- a/crates/ringbend-relay/src/node.rs
+++ b/crates/ringbend-relay/src/node.rs
@@ -257,7 +257,7 @@
 }
 
 /// A send that waits for its placement, is queued or runs. Dropping it removes it from the load
-/// book of all instances.
+/// trackers of all instances.
 pub(crate) struct TrackedSend {
     node: Rc<Node>,
     pub(crate) id: WorkId,
@@ -273,7 +273,7 @@
     }
 
     /// Records that the prompt has been prefilled.
-    pub(crate) fn note_first_event(&self) {
+    pub(crate) fn record_first_event(&self) {
         self.node.load.borrow_mut().first_event(self.id);
         self.node.outbox.borrow_mut().writing.push(self.id);
         self.node.flush.batched.notify_one();
--- a/crates/ringbend-relay/src/peer_copies.rs
+++ b/crates/ringbend-relay/src/peer_copies.rs
@@ -208,7 +208,7 @@
     node.peers.borrow().holders(node.clock.now(), wanted)
 }
 
-fn pick(node: &Node, from: Vec<SocketAddrV4>) -> Option<SocketAddrV4> {
+fn pick_random_peer(node: &Node, from: Vec<SocketAddrV4>) -> Option<SocketAddrV4> {
     from.choose(&mut *node.rng.borrow_mut()).copied()
 }
 
@@ -250,7 +250,7 @@
     fetch: impl AsyncFn(SocketAddrV4) -> Result<(), CopyError>,
 ) -> bool {
     let until: Timestamp = node.clock.now() + FETCH_TIMEOUT;
-    while let Some(peer) = pick(node, peers_with(node, &wanted)) {
+    while let Some(peer) = pick_random_peer(node, peers_with(node, &wanted)) {
         let left = until.since(node.clock.now());
         let result = tokio::time::timeout(left.min(TRANSFER_TIMEOUT), fetch(peer))
             .await
--- a/crates/ringbend-relay/src/permits.rs
+++ b/crates/ringbend-relay/src/permits.rs
@@ -15,7 +15,7 @@
 use smallvec::SmallVec;
 
 use crate::node::Node;
-use crate::placement::{NotPlaced, PermitAuthority, PlacementError};
+use crate::placement::{NotPlaced, PermitIssuer, PlacementError};
 
 /// Interval between checks for an available permit.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -147,22 +147,18 @@
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-        authority: PermitAuthority,
+        issuer: PermitIssuer,
     ) -> Result<Placement, PlacementError> {
         let until = self.clock.now() + COORDINATOR_TIMEOUT;
         loop {
             if self.is_limit_coordinator(&job.service) {
                 match self.wait_for_permit(id, job, engine).await {
                     // Another instance has become the coordinator.
-                    Err(PlacementError::NotCoordinator)
-                        if authority == PermitAuthority::Coordinator =>
-                    {
-                        continue;
-                    }
+                    Err(PlacementError::NotCoordinator) if issuer == PermitIssuer::Any => continue,
                     placed => return placed,
                 }
             }
-            if authority == PermitAuthority::Local {
+            if issuer == PermitIssuer::Local {
                 return Err(PlacementError::NotCoordinator);
             }
             let coordinator = |peers: &Peers, now, asked: &[_]| {
--- a/crates/ringbend-relay/src/placement.rs
+++ b/crates/ringbend-relay/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of requests: the choice of endpoints and its entry in the load book.
+//! Placement of requests: the choice of endpoints and its entry in the load tracker.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -47,11 +47,11 @@
     MustWait,
 }
 
-/// Which instance places a request that needs a permit of a rate-limited endpoint.
+/// Which instance may issue a permit of a rate-limited endpoint, and places the request then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PermitAuthority {
+pub(crate) enum PermitIssuer {
     /// The limit coordinator, whichever instance that is.
-    Coordinator,
+    Any,
     /// This instance, as it was asked as the limit coordinator.
     Local,
 }
@@ -75,7 +75,7 @@
             return placed;
         }
         log::info!(target: "request", id = job.request.as_ref(); "placing without a scheduler");
-        self.place_when_due(id, job, engine, PermitAuthority::Coordinator).await
+        self.place_when_due(id, job, engine, PermitIssuer::Any).await
     }
 
     /// Asks a scheduler. `None` if it does not reply, or if it chose an endpoint that this instance
@@ -115,7 +115,7 @@
                 return placed;
             }
         }
-        self.place_when_due(id, job, engine, PermitAuthority::Coordinator).await
+        self.place_when_due(id, job, engine, PermitIssuer::Any).await
     }
 
     /// Waits for the request's turn, chooses endpoints and records the placement.
@@ -124,15 +124,13 @@
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-        authority: PermitAuthority,
+        issuer: PermitIssuer,
     ) -> Result<Placement, PlacementError> {
         self.wait_for_turn(id, job, engine).await?;
         match self.try_place(id, job, engine) {
             Ok(placement) => Ok(placement),
             Err(NotPlaced::NoEndpoint) => Err(PlacementError::NoEndpoint),
-            Err(NotPlaced::MustWait) => {
-                self.place_via_coordinator(id, job, engine, authority).await
-            }
+            Err(NotPlaced::MustWait) => self.place_via_coordinator(id, job, engine, issuer).await,
         }
     }
 
@@ -167,7 +165,7 @@
         Some(self.record_placement(id, job, engine, placement))
     }
 
-    /// Adds the work to the load book and reports it to other schedulers.
+    /// Adds the work to the load tracker and reports it to other schedulers.
     fn record_placement(
         &self,
         id: WorkId,
@@ -207,7 +205,7 @@
         let limits = self.limits.borrow();
         let (cfg, load, health) = (self.cfg.borrow(), self.load.borrow(), self.health.borrow());
         let (is_scheduler, instances) = (self.is_scheduler(), self.peers.borrow().instances(now));
-        // If other instances schedule, this instance's load book lacks their placements.
+        // If other instances schedule, this instance's load tracker lacks their placements.
         let alone = !is_scheduler || instances <= 1;
         let is_new = now.since(self.clock.started_at()) < DISCOVERY_TIME;
         let view = FleetView {
--- a/crates/ringbend-relay/src/placement_grants.rs
+++ b/crates/ringbend-relay/src/placement_grants.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 
 use crate::node::Node;
-use crate::placement::{NotPlaced, PermitAuthority, PlacementError};
+use crate::placement::{NotPlaced, PermitIssuer, PlacementError};
 
 /// The state of one placement request.
 struct GrantState {
@@ -43,7 +43,7 @@
 
 impl PlacementGrants {
     /// Records that this instance is the scheduler of an incarnation.
-    pub(crate) fn note_served(&mut self, incarnation: u64) {
+    pub(crate) fn record_served(&mut self, incarnation: u64) {
         self.served.insert(incarnation);
         self.reporters.remove(&incarnation);
     }
@@ -54,7 +54,7 @@
     }
 
     /// Records that a scheduler reported the work of an incarnation.
-    pub(crate) fn note_reported_by(&mut self, incarnation: u64, scheduler: SocketAddrV4) {
+    pub(crate) fn record_reported_by(&mut self, incarnation: u64, scheduler: SocketAddrV4) {
         self.reporters.insert(incarnation, scheduler);
     }
 
@@ -143,7 +143,7 @@
         let engine = service.engine;
         let is_delegated = ask.owner.is_some();
         if !is_delegated && job.suspect.is_none() {
-            self.placement_grants.borrow_mut().note_served(id.instance);
+            self.placement_grants.borrow_mut().record_served(id.instance);
         }
         let waits = job.suspect.is_some() || (!job.at_once && self.is_long(&job, engine));
         let until = job.deadline;
@@ -179,7 +179,7 @@
             (Some(fingerprint), false) => {
                 self.schedule_suspect(id, &job, engine, fingerprint).await
             }
-            (None, true) => self.place_when_due(id, &job, engine, PermitAuthority::Local).await,
+            (None, true) => self.place_when_due(id, &job, engine, PermitIssuer::Local).await,
             (None, false) => self.place_or_delegate(id, &job, engine).await,
         };
         let grant = self.build_grant(id, &job, placed);
--- a/crates/ringbend-relay/src/placement_requests.rs
+++ b/crates/ringbend-relay/src/placement_requests.rs
@@ -153,7 +153,7 @@
         self.peers.borrow().is_behind(scheduler, self.endpoints_cursor.get().0)
     }
 
-    /// Adds a granted placement to this instance's load book. `None` if it cannot be decoded.
+    /// Adds a granted placement to this instance's load tracker. `None` if it cannot be decoded.
     fn apply_grant(&self, id: WorkId, grant: &Grant, is_doubtful: bool) -> Option<Placement> {
         let now = self.clock.now();
         let work = match grant.work.as_ref().map(|work| decode_placed_work(now, work)) {
--- a/crates/ringbend-relay/src/ports.rs
+++ b/crates/ringbend-relay/src/ports.rs
@@ -27,7 +27,8 @@
     pub client_timeout: Option<Duration>,
     /// The last event the caller received of a stream that is to be resumed.
     pub last_event_id: Option<EventId>,
-    /// Tokens that the request needs from an engine; `None` for requests that do not run on an engine.
+    /// Tokens that the request needs from an engine; `None` for requests that do not run on an
+    /// engine.
     pub demand: Option<Demand>,
 }
 
@@ -88,7 +89,8 @@
     pub last_event_id: Option<EventId>,
     /// Engines that prefill part of the prompt.
     pub helpers: SmallVec<[PrefillHelper; 4]>,
-    /// Priority in the endpoint's queue, where zero is served first; `None` if the endpoint has no priorities.
+    /// Priority in the endpoint's queue, where zero is served first; `None` if the endpoint has no
+    /// priorities.
     pub priority: Option<u8>,
 }
 
@@ -125,7 +127,8 @@
     pub start: Option<EndpointStart>,
 }
 
-/// Maps the relay's requests and responses to the headers, paths and bodies that callers and endpoints use.
+/// Maps the relay's requests and responses to the headers, paths and bodies that callers and
+/// endpoints use.
 pub trait Dialect {
     /// Parses the head of a caller's request.
     ///
@@ -146,7 +149,8 @@
     /// Interprets the status of an engine's response to a reservation request.
     fn parse_reservation_response(&self, status: StatusCode) -> ReservationReply;
 
-    /// The start of the engine's process, if the body of its response to a reservation request states it.
+    /// The start of the engine's process, if the body of its response to a reservation request
+    /// states it.
     fn parse_reservation_start(&self, body: &[u8]) -> Option<EndpointStart>;
 
     /// Builds the request for an engine's report.
@@ -181,7 +185,8 @@
     pub invalid_rows: Vec<InvalidRow>,
     /// The position from which the next call continues.
     pub cursor: Cursor,
-    /// Whether the batch holds everything that the source had; otherwise the source is read again at once.
+    /// Whether the batch holds everything that the source had; otherwise the source is read again
+    /// at once.
     pub is_complete: bool,
     /// The store's monotonic clock when it built the response.
     pub store_clock: Duration,
@@ -268,7 +273,8 @@
     /// Writes this instance's entry. The call is idempotent.
     async fn register(&self, own: &InstanceRecord) -> Result<(), SourceError>;
 
-    /// Lists all entries, including this instance's own; some may belong to instances that no longer run.
+    /// Lists all entries, including this instance's own; some may belong to instances that no
+    /// longer run.
     async fn list(&self) -> Result<Vec<InstanceRecord>, SourceError>;
 
     /// Removes this instance's entry.
@@ -296,7 +302,7 @@
     /// Deletes rows; missing keys are ignored.
     async fn delete(&self, keys: &[Arc<str>]) -> Result<(), SourceError>;
 
-    /// Writes a row unless its key exists. Returns whether this call wrote it; a call whose response was
-    /// lost counts as one that did not.
+    /// Writes a row unless its key exists. Returns whether this call wrote it; a call whose
+    /// response was lost counts as one that did not.
     async fn put_if_absent(&self, row: &DurableRow) -> Result<bool, SourceError>;
 }
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -79,8 +79,9 @@
 /// idle limit, so this one only has to exceed theirs.
 const KEEP_ALIVE: Duration = Duration::from_secs(90);
 
-/// Initial value of this instance's clock. Other instances report when they last verified a copy, which may be before
-/// this instance started; a copy that was verified longer ago than this is too old to be used.
+/// Initial value of this instance's clock. Other instances report when they last verified a copy,
+/// which may be before this instance started; a copy that was verified longer ago than this is too
+/// old to be used.
 const CLOCK_AT_START: Timestamp = Timestamp(60_000_000);
 
 impl Relay {
@@ -93,7 +94,8 @@
         Self::start_at(cfg, ports, Clock::start_at(CLOCK_AT_START)).await
     }
 
-    /// Like [`Self::start`], with a clock that reads its time from `read`; used by tests of suspended machines.
+    /// Like [`Self::start`], with a clock that reads its time from `read`; used by tests of
+    /// suspended machines.
     ///
     /// # Errors
     ///
@@ -202,7 +204,8 @@
         self.node.readers.borrow().reads()
     }
 
-    /// Whether this instance is a scheduler, which places requests for other instances of its data centre.
+    /// Whether this instance is a scheduler, which places requests for other instances of its data
+    /// centre.
     pub fn is_scheduler(&self) -> bool {
         self.node.is_scheduler()
     }
@@ -232,7 +235,8 @@
         self.node.limits.borrow().len()
     }
 
-    /// Reads the settings file again and applies it. Changed addresses take effect only after a restart.
+    /// Reads the settings file again and applies it. Changed addresses take effect only after a
+    /// restart.
     pub fn reload(&self, path: &Path) {
         match RelayConfig::read(path) {
             Ok(cfg) if cfg == *self.node.cfg.borrow() => {}
--- a/crates/ringbend-relay/src/reservations.rs
+++ b/crates/ringbend-relay/src/reservations.rs
@@ -166,7 +166,7 @@
     }
     let body = incoming.read_to_end(MAX_RESPONSE_BYTES).await?;
     if let Some(start) = node.dialect.parse_reservation_start(&body) {
-        node.note_endpoint_start(&endpoint, start);
+        node.record_endpoint_start(&endpoint, start);
     }
     Ok(node.dialect.parse_reservation_response(status))
 }
--- a/crates/ringbend-relay/src/runs.rs
+++ b/crates/ringbend-relay/src/runs.rs
@@ -31,7 +31,7 @@
 use crate::timeouts::RunError;
 
 /// A request that was sent to an endpoint. Dropping it closes the connection, which tells the
-/// endpoint to stop, and removes the work from the load book.
+/// endpoint to stop, and removes the work from the load tracker.
 pub(crate) struct Run {
     pub(crate) endpoint: Endpoint,
     tracked: TrackedSend,
@@ -274,7 +274,7 @@
         run.abandon_guard.disarm();
         match started {
             Ok(started) => Ok((run, started)),
-            Err(why) => Err(self.note_run_error(&run.endpoint, &why)),
+            Err(why) => Err(self.record_run_error(&run.endpoint, &why)),
         }
     }
 }
@@ -288,7 +288,7 @@
         first: Option<ringbend_gateway::Event>,
     ) -> ResponseStream {
         let Self { endpoint, tracked, mut dependencies, .. } = self;
-        tracked.note_first_event();
+        tracked.record_first_event();
         // The prompt is prefilled, so the end of a helper no longer matters unless it holds
         // reserved memory.
         let holds = |e: &Endpoint| {
--- a/crates/ringbend-relay/src/scheduling.rs
+++ b/crates/ringbend-relay/src/scheduling.rs
@@ -41,7 +41,7 @@
     pub(crate) endpoint: Endpoint,
     /// The engines that prefill the prompt, and how.
     pub(crate) placement: Placement,
-    /// The send's entry in the load book.
+    /// The send's entry in the load tracker.
     pub(crate) tracked: TrackedSend,
     /// Expected time to the first event.
     pub(crate) expected: Duration,
--- a/crates/ringbend-relay/src/sending.rs
+++ b/crates/ringbend-relay/src/sending.rs
@@ -25,8 +25,8 @@
         if response.not_run {
             log::info!(target: "request", id, endpoint:% = endpoint.id, status; "endpoint did not run the request");
             match response.faulty_engine.filter(|address| *address != endpoint.address) {
-                Some(address) => self.note_unhealthy_address(address),
-                None if response.is_wrong_endpoint => self.note_wrong_endpoint(&endpoint.id),
+                Some(address) => self.record_unhealthy_address(address),
+                None if response.is_wrong_endpoint => self.record_wrong_endpoint(&endpoint.id),
                 // The endpoint enforces its announced rate limit, which is no sign of bad health.
                 None if matches!(response.signals.limit, LimitSignal::Rate(_)) => {}
                 None => self.record_health(&endpoint.id, HealthEvent::Full),
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    pub(crate) fn note_unhealthy_address(&self, address: SocketAddrV4) {
+    pub(crate) fn record_unhealthy_address(&self, address: SocketAddrV4) {
         let directory = self.node.directory.borrow();
         let Some(endpoint) = directory.by_address(address) else { return };
         self.record_health(&endpoint.id, HealthEvent::Bad);
@@ -49,7 +49,7 @@
     }
 
     /// Records that another endpoint responded at this endpoint's address, so this one has ended.
-    fn note_wrong_endpoint(&self, endpoint: &EndpointId) {
+    fn record_wrong_endpoint(&self, endpoint: &EndpointId) {
         self.record_health(endpoint, HealthEvent::Foreign);
         self.gossip_unfit(endpoint);
     }
@@ -71,7 +71,7 @@
     }
 
     /// Records a failed run and decides how it counts.
-    pub(crate) fn note_run_error(&mut self, endpoint: &Endpoint, why: &RunError) -> SendFailure {
+    pub(crate) fn record_run_error(&mut self, endpoint: &Endpoint, why: &RunError) -> SendFailure {
         if matches!(why, RunError::Held) {
             log::warn!(
                 target: "request", id = self.request_id(), fingerprint:% = self.original.fingerprint,
--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -35,11 +35,11 @@
         signals: &EndpointSignals,
         from: LimitSource,
     ) {
-        self.note_limit_signal(endpoint, sent, signals.limit, from);
+        self.record_limit_signal(endpoint, sent, signals.limit, from);
         match signals.draining {
             Signal::Present(_) => {
                 let (id, start) = (endpoint.id.clone(), endpoint.start);
-                self.note_drain(Drain { endpoint: id, start }, "response", true);
+                self.record_drain(Drain { endpoint: id, start }, "response", true);
             }
             Signal::Malformed(why) => self.log_malformed(endpoint, "draining", why),
             Signal::Absent => {}
@@ -61,7 +61,7 @@
         }
     }
 
-    fn note_drain(&self, drain: Drain, from: &str, for_all: bool) {
+    fn record_drain(&self, drain: Drain, from: &str, for_all: bool) {
         let (endpoint, now) = (drain.endpoint.clone(), self.clock.now());
         if !self.directory.borrow_mut().note_drain(now, drain) {
             return;
@@ -82,7 +82,7 @@
     pub(crate) fn merge_drains(&self, digest: &LoadDigest, from_scheduler: bool) {
         for told in &digest.drains {
             match decode_drain(told) {
-                Ok(drain) => self.note_drain(drain, "another instance", !from_scheduler),
+                Ok(drain) => self.record_drain(drain, "another instance", !from_scheduler),
                 Err(e) => log::warn!(target: "peers", error:% = e; "invalid drain in digest"),
             }
         }
@@ -96,9 +96,9 @@
     ) -> Vec<EndpointDrain> {
         let directory = self.directory.borrow();
         let drains = directory.drains();
-        let named = endpoints.iter().filter_map(|endpoint| drains.get(endpoint));
+        let requested = endpoints.iter().filter_map(|endpoint| drains.get(endpoint));
         let recent = drains.recent(now).filter(|drain| !endpoints.contains(&drain.endpoint));
-        named.chain(recent).take(MAX_PER_DATAGRAM).map(encode_drain).collect()
+        requested.chain(recent).take(MAX_PER_DATAGRAM).map(encode_drain).collect()
     }
 
     /// All announcements, for an instance that has just started.
--- a/crates/ringbend-relay/src/streams.rs
+++ b/crates/ringbend-relay/src/streams.rs
@@ -75,10 +75,7 @@
 }
 
 /// Starts the response to the caller and forwards the remaining events in a separate task.
-pub(crate) fn stream_response(
-    request: ActiveRequest,
-    response_stream: ResponseStream,
-) -> HttpResponse {
+pub(crate) fn forward(request: ActiveRequest, response_stream: ResponseStream) -> HttpResponse {
     let (tx, mut res) = stream(response_stream.head.status, EVENT_BUFFER);
     copy_headers(&response_stream.head, res.headers_mut());
     tokio::task::spawn_local(async move {
@@ -126,7 +123,7 @@
     let Some(first) = first else { return Ok(()) };
     let mut last = first.id.or(request.metadata.last_event_id);
     send_event(tx, first).await;
-    request.note_forwarded(&endpoint.id);
+    request.record_forwarded(&endpoint.id);
     request.streaming_since = Some(request.node.clock.now());
     loop {
         let by = gap_deadline(request);
@@ -134,18 +131,18 @@
             Ok(Some(event)) => {
                 last = event.id.or(last);
                 send_event(tx, event).await;
-                request.note_forwarded(&endpoint.id);
+                request.record_forwarded(&endpoint.id);
             }
             Ok(None) => return Ok(()),
             Err(why) => {
-                let failure = request.note_run_error(&endpoint, &why);
+                let failure = request.record_run_error(&endpoint, &why);
                 drop((tracked, events));
                 let resumed = resume(request, failure, last).await?;
                 ResponseStream { endpoint, tracked, dependencies, events, .. } = resumed;
                 let Some(next) = resumed.first else { return Ok(()) };
                 last = next.id.or(last);
                 send_event(tx, next).await;
-                request.note_forwarded(&endpoint.id);
+                request.record_forwarded(&endpoint.id);
                 request.streaming_since = Some(request.node.clock.now());
             }
         }
--- a/crates/ringbend-relay/src/suspect_store.rs
+++ b/crates/ringbend-relay/src/suspect_store.rs
@@ -60,7 +60,7 @@
         match with_timeout(node.durable_store.read_all()).await {
             Ok(rows) => {
                 rows.iter().for_each(|row| node.apply_stored_row(row));
-                node.note_suspects_known("the store");
+                node.record_suspects_known("the store");
             }
             Err(e) => {
                 log::info!(target: "suspects", error:% = e; "reading suspects failed; retrying");
--- a/crates/ringbend-relay/src/suspects.rs
+++ b/crates/ringbend-relay/src/suspects.rs
@@ -11,7 +11,7 @@
 use ringbend_wire::{LoadDigest, Suspicion, decode_suspicion, encode_suspicion};
 
 use crate::node::Node;
-use crate::placement::{NotPlaced, PermitAuthority, PlacementError};
+use crate::placement::{NotPlaced, PermitIssuer, PlacementError};
 
 /// Maximum number of suspects per datagram, so that it stays well below the receive buffer.
 const MAX_PER_DATAGRAM: usize = 64;
@@ -86,9 +86,9 @@
         now: Timestamp,
     ) -> Vec<Suspicion> {
         let quarantine = self.quarantine.borrow();
-        let named = fingerprints.iter().filter_map(|fingerprint| quarantine.get(*fingerprint));
+        let requested = fingerprints.iter().filter_map(|fingerprint| quarantine.get(*fingerprint));
         let recent = quarantine.recent(now).filter(|s| !fingerprints.contains(&s.fingerprint));
-        named.chain(recent).take(MAX_PER_DATAGRAM).map(encode_suspicion).collect()
+        requested.chain(recent).take(MAX_PER_DATAGRAM).map(encode_suspicion).collect()
     }
 
     /// Everything that an instance that has just started needs to know, split into digests. Empty
@@ -121,12 +121,12 @@
             }
         }
         if digest.knows_suspects {
-            self.note_suspects_known("another instance");
+            self.record_suspects_known("another instance");
         }
     }
 
     /// Records that this instance has the suspects that were known to others when it started.
-    pub(crate) fn note_suspects_known(&self, from: &str) {
+    pub(crate) fn record_suspects_known(&self, from: &str) {
         if !self.knows_suspects.replace(true) {
             let held = self.quarantine.borrow().held_count();
             log::info!(target: "suspects", from, held; "suspects loaded");
@@ -169,7 +169,7 @@
         id: WorkId,
         job: &Job,
         engine: Option<EngineProfile>,
-        fingerprint: Fingerprint,
+        suspect: Fingerprint,
     ) -> Result<Placement, PlacementError> {
         let until =
             (self.clock.now() + ARBITER_TIMEOUT).min(job.caller_timeout_at).min(job.deadline);
@@ -177,9 +177,7 @@
             let now = self.clock.now();
             let arbiter = self.peers.borrow().arbiter(now, &job.service, &[]);
             match arbiter {
-                Some(Arbiter::Local) => {
-                    return self.place_suspect(id, job, engine, fingerprint).await;
-                }
+                Some(Arbiter::Local) => return self.place_suspect(id, job, engine, suspect).await,
                 Some(Arbiter::Remote(_)) => {
                     let next = |peers: &Peers, now, asked: &[SocketAddrV4]| {
                         peers.arbiter(now, &job.service, asked).and_then(Arbiter::address)
@@ -190,12 +188,10 @@
                 }
                 None => {}
             }
-            match self.suspect_state(fingerprint) {
+            match self.suspect_state(suspect) {
                 SuspectState::Clear | SuspectState::Suspect(1) => {
                     log::info!(target: "request", id = job.request.as_ref(); "no arbiter replied; placing suspect locally");
-                    return self
-                        .place_when_due(id, job, engine, PermitAuthority::Coordinator)
-                        .await;
+                    return self.place_when_due(id, job, engine, PermitIssuer::Any).await;
                 }
                 SuspectState::Held => return Err(PlacementError::Held),
                 SuspectState::Suspect(_) if now >= until => return Err(PlacementError::NoArbiter),
--- a/crates/ringbend-relay/src/table_copies.rs
+++ b/crates/ringbend-relay/src/table_copies.rs
@@ -122,7 +122,7 @@
         peer_copies::first_config(node).await.then(|| node.config_cursor.get())
     }
 
-    fn note_invalid_row(&self, node: &Node) {
+    fn record_invalid_row(&self, node: &Node) {
         node.replica.borrow_mut().mark_unreadable();
     }
 
@@ -273,7 +273,7 @@
         peer_copies::first_endpoints(node).await.then(|| node.endpoints_cursor.get())
     }
 
-    fn note_invalid_row(&self, _: &Node) {}
+    fn record_invalid_row(&self, _: &Node) {}
 
     fn prove(&self, _: &Node, _: Proof, _: bool) {}
 
--- a/crates/ringbend-relay/src/table_gossip.rs
+++ b/crates/ringbend-relay/src/table_gossip.rs
@@ -45,7 +45,7 @@
         forward_changes(node, now, from, decode_role(digest) == Role::Scheduler, changes);
     }
     if let Some(currency) = &digest.currency {
-        note_peer_versions(node, from, currency);
+        record_peer_versions(node, from, currency);
         apply_currency(node, now, digest.incarnation, currency);
     }
 }
@@ -90,7 +90,7 @@
 }
 
 /// Records which versions the sender can serve, and whether they are newer than the local copies.
-fn note_peer_versions(node: &Node, from: SocketAddrV4, currency: &Currency) {
+fn record_peer_versions(node: &Node, from: SocketAddrV4, currency: &Currency) {
     let config = ConfigVersion(currency.config_version);
     let versions = CopyVersions { config, endpoints: currency.endpoints_cursor };
     node.peers.borrow_mut().set_copy_versions(from, versions);
--- a/crates/ringbend-relay/src/watch.rs
+++ b/crates/ringbend-relay/src/watch.rs
@@ -58,7 +58,7 @@
     fn known_cursor(&self, node: &Node) -> Cursor;
 
     /// Records that a row could not be decoded.
-    fn note_invalid_row(&self, node: &Node);
+    fn record_invalid_row(&self, node: &Node);
 
     /// Waits until, judging by other calls, a call for changes after `from` should have been
     /// answered.
@@ -101,10 +101,10 @@
             let sent = self.node.clock.now();
             match with_timeout(CALL_TIMEOUT, self.source.read_all()).await {
                 Ok(batch) => {
-                    self.note_response();
+                    self.record_response();
                     let cursor = batch.cursor;
                     let proof = Proof { sent, store_clock: batch.store_clock };
-                    self.note_invalid_rows(&batch.invalid_rows);
+                    self.record_invalid_rows(&batch.invalid_rows);
                     let known = self.copy.known_cursor(&self.node);
                     self.copy.replace(&self.node, batch.items, cursor);
                     if self.is_latest(cursor, known) {
@@ -113,7 +113,7 @@
                     return cursor;
                 }
                 Err(e) => {
-                    self.note_failure(e).await;
+                    self.record_failure(e).await;
                     if let Some(cursor) = self.copy.first_copy(&self.node).await {
                         return cursor;
                     }
@@ -157,10 +157,10 @@
             };
             match response {
                 Ok(batch) => {
-                    self.note_response();
+                    self.record_response();
                     cursor = cursor.max(batch.cursor);
                     let proof = Proof { sent, store_clock: batch.store_clock };
-                    self.note_invalid_rows(&batch.invalid_rows);
+                    self.record_invalid_rows(&batch.invalid_rows);
                     let changed = !batch.items.is_empty();
                     let known = self.copy.known_cursor(&self.node);
                     self.copy.apply(&self.node, batch.items, batch.cursor);
@@ -175,7 +175,7 @@
                     log::info!(target: "store", table = C::NAME; "change history no longer available; reading the whole table");
                     return;
                 }
-                Err(e) => self.note_failure(e).await,
+                Err(e) => self.record_failure(e).await,
             }
         }
     }
@@ -202,16 +202,16 @@
         self.copy.prove(&self.node, proof, wait.is_zero());
     }
 
-    fn note_invalid_rows(&self, bad: &[InvalidRow]) {
+    fn record_invalid_rows(&self, bad: &[InvalidRow]) {
         for row in bad {
             log::warn!(
                 target: "store", table = C::NAME, key:% = row.key, why:% = row.reason; "skipping invalid row"
             );
-            self.copy.note_invalid_row(&self.node);
+            self.copy.record_invalid_row(&self.node);
         }
     }
 
-    fn note_response(&mut self) {
+    fn record_response(&mut self) {
         self.pauses.reset();
         if C::DETECTS_OUTAGES && self.node.store_lost_at.take().is_some() {
             self.node.store_recovered.notify_waiters();
@@ -222,7 +222,7 @@
         self.copy.on_store_recovered(&self.node);
     }
 
-    async fn note_failure(&mut self, e: SourceError) {
+    async fn record_failure(&mut self, e: SourceError) {
         if C::DETECTS_OUTAGES {
             let lost_at = self.node.store_lost_at.get().unwrap_or(self.node.clock.now());
             self.node.store_lost_at.set(Some(lost_at));
@@ -240,8 +240,8 @@
             }
             return;
         }
-        // One watch is enough to probe an unavailable store. The time limit is for the case that the
-        // probing watch keeps failing for another reason and never reports the recovery.
+        // One watch is enough to probe an unavailable store. The time limit is for the case that
+        // the probing watch keeps failing for another reason and never reports the recovery.
         tokio::select! {
             () = self.node.store_recovered.notified() => {}
             () = tokio::time::sleep(MAX_SECONDARY_BACKOFF) => {}
