--- a/crates/ringbend-relay/src/admin.rs
+++ b/crates/ringbend-relay/src/admin.rs
@@ -59,13 +59,13 @@
 
     fn suspects(&self) -> Vec<SuspectEntry> {
         let quarantine = self.node.quarantine.borrow();
-        let line = |suspicion: &Suspicion| SuspectEntry {
+        let entry = |suspicion: &Suspicion| SuspectEntry {
             fingerprint: suspicion.fingerprint.to_string(),
             held: suspicion.ended.len() >= STRIKES_TO_HOLD,
             ended: suspicion.ended.iter().map(|process| process.endpoint.to_string()).collect(),
             tries: suspicion.tries,
         };
-        quarantine.suspicions().map(line).collect()
+        quarantine.suspicions().map(entry).collect()
     }
 
     /// Clears a request on all instances, like a run that ends well.
--- a/crates/ringbend-relay/src/callers.rs
+++ b/crates/ringbend-relay/src/callers.rs
@@ -93,8 +93,8 @@
         let body = read_body_with(req.take_payload(), limits.body_bytes, time, hash_body).await;
         let body = body.map_err(|e| Refusal::from(&e))?;
         let fingerprint = builder.finish();
-        let draw = self.node.rng.borrow_mut().random::<f64>();
-        let service = admitted.route.pick_service(draw).ok_or(Refusal::NoService)?.clone();
+        let sample = self.node.rng.borrow_mut().random::<f64>();
+        let service = admitted.route.pick_service(sample).ok_or(Refusal::NoService)?.clone();
         let service = admitted.snapshot.service(&service).ok_or(Refusal::NoService)?.clone();
         self.node.budget.borrow_mut().record_request(self.node.clock.now(), &service.name);
         let Admitted { route, account, snapshot } = admitted;
--- a/crates/ringbend-relay/src/config.rs
+++ b/crates/ringbend-relay/src/config.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Names of all settings, for suggestions.
+/// Setting names that are suggested for unknown ones.
 const KNOWN_NAMES: [&str; 32] = [
     "instance",
     "data_centre",
--- a/crates/ringbend-relay/src/discovery.rs
+++ b/crates/ringbend-relay/src/discovery.rs
@@ -219,9 +219,9 @@
         rows.iter().filter_map(|row| row.data_centre.as_ref()).collect();
     centres.sort();
     centres.dedup();
-    let of_centre = |centre: &DataCentre| {
+    let addresses_in = |centre: &DataCentre| {
         let there = rows.iter().filter(|row| row.data_centre.as_ref() == Some(centre));
         ranked_addresses(there).into_iter().take(SCHEDULERS_PER_DATA_CENTRE).collect::<Vec<_>>()
     };
-    centres.into_iter().filter(|centre| *centre != home).flat_map(of_centre).collect()
+    centres.into_iter().filter(|centre| *centre != home).flat_map(addresses_in).collect()
 }
--- a/crates/ringbend-relay/src/gossip_receiver.rs
+++ b/crates/ringbend-relay/src/gossip_receiver.rs
@@ -210,8 +210,8 @@
     }
 
     fn apply_restarts(&self, digest: &LoadDigest) {
-        for told in &digest.restarts {
-            match decode_endpoint_restart(told) {
+        for encoded in &digest.restarts {
+            match decode_endpoint_restart(encoded) {
                 Ok((endpoint, start)) => self.record_endpoint_start(&endpoint, start),
                 Err(e) => {
                     log::warn!(target: "peers", error:% = e; "invalid endpoint restart in digest")
@@ -276,7 +276,7 @@
         let mut outbox = self.outbox.borrow_mut();
         for waiting in &owners.waiting {
             match decode_waiting_work(now, waiting) {
-                Ok(told) => load.wait(id(waiting.sequence), told),
+                Ok(encoded) => load.wait(id(waiting.sequence), encoded),
                 Err(e) => {
                     log::warn!(target: "peers", instance, error:% = e; "invalid waiting work in digest")
                 }
--- a/crates/ringbend-relay/src/headers.rs
+++ b/crates/ringbend-relay/src/headers.rs
@@ -22,17 +22,17 @@
         .flat_map(|names| names.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = HeaderMap::new();
+    let mut result = HeaderMap::new();
     for (name, value) in headers {
         let is_hop = HOP_HEADERS.contains(name)
             || name.as_str() == "keep-alive"
             || name.as_str() == "proxy-connection"
             || named.iter().any(|n| n == name.as_str());
         if !is_hop {
-            kept.append(name.clone(), value.clone());
+            result.append(name.clone(), value.clone());
         }
     }
-    kept
+    result
 }
 
 /// Copies the end-to-end headers of a response.
--- a/crates/ringbend-relay/src/log_fields.rs
+++ b/crates/ringbend-relay/src/log_fields.rs
@@ -9,7 +9,7 @@
 impl fmt::Display for Millis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Some(span) => write!(f, "{}", span.as_millis()),
+            Some(duration) => write!(f, "{}", duration.as_millis()),
             None => write!(f, "-"),
         }
     }
@@ -21,7 +21,7 @@
 impl<T: fmt::Debug> fmt::Display for OrNoAnswer<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
-            Some(word) => write!(f, "{word:?}"),
+            Some(value) => write!(f, "{value:?}"),
             None => write!(f, "no answer"),
         }
     }
--- a/crates/ringbend-relay/src/peer_copies.rs
+++ b/crates/ringbend-relay/src/peer_copies.rs
@@ -251,8 +251,8 @@
 ) -> bool {
     let until: Timestamp = node.clock.now() + FETCH_TIMEOUT;
     while let Some(peer) = pick_random_peer(node, peers_with(node, &wanted)) {
-        let left = until.since(node.clock.now());
-        let result = tokio::time::timeout(left.min(TRANSFER_TIMEOUT), fetch(peer))
+        let remaining = until.since(node.clock.now());
+        let result = tokio::time::timeout(remaining.min(TRANSFER_TIMEOUT), fetch(peer))
             .await
             .unwrap_or(Err(CopyError::Late));
         match result {
--- a/crates/ringbend-relay/src/placement_grants.rs
+++ b/crates/ringbend-relay/src/placement_grants.rs
@@ -151,8 +151,8 @@
             if waits { Err(NotPlaced::MustWait) } else { self.try_place(id, &job, engine) };
         if let Some(placed) = immediate_result(placed) {
             let grant = self.build_grant(id, &job, placed);
-            let (grant_kept, waiting) = (Some(grant.clone()), None);
-            let state = GrantState { requester: from, grant: grant_kept, waiting, until };
+            let (stored_grant, waiting) = (Some(grant.clone()), None);
+            let state = GrantState { requester: from, grant: stored_grant, waiting, until };
             self.placement_grants.borrow_mut().open.insert(id, state);
             return grant;
         }
--- a/crates/ringbend-relay/src/ports.rs
+++ b/crates/ringbend-relay/src/ports.rs
@@ -159,7 +159,7 @@
     /// Parses an engine's report; `None` if the response is not a valid report.
     fn parse_report(&self, status: StatusCode, body: &[u8]) -> Option<EngineReport>;
 
-    /// Adds the caller's request id to a response that the relay generates itself.
+    /// Marks a response that the relay generates itself, for example with the caller's request id.
     fn mark_local_response(&self, request: &RequestMetadata, headers: &mut HeaderMap);
 }
 
@@ -223,9 +223,9 @@
 
 /// A table that can be read as a whole and watched for changes.
 #[async_trait(?Send)]
-pub trait Source<Whole, Change> {
+pub trait Source<Item, Change> {
     /// Reads the whole table.
-    async fn read_all(&self) -> Result<Batch<Whole>, SourceError>;
+    async fn read_all(&self) -> Result<Batch<Item>, SourceError>;
 
     /// Long-polls for changes after `after`: waits at most `wait` for the first one.
     async fn changes(&self, after: Cursor, wait: Duration) -> Result<Batch<Change>, SourceError>;
--- a/crates/ringbend-relay/src/prompt_queue.rs
+++ b/crates/ringbend-relay/src/prompt_queue.rs
@@ -32,7 +32,7 @@
         let started_at = self.clock.now();
         self.register_waiting(id, job, engine, demand);
         let mut passed_over_at: Option<Timestamp> = None;
-        let (mut had_too_few, mut had_to_give_way) = (false, false);
+        let (mut lacked_engines, mut has_yielded) = (false, false);
         loop {
             let now = self.clock.now();
             let passed_over_for = passed_over_at.map_or(Duration::ZERO, |at| now.since(at));
@@ -45,17 +45,17 @@
                 Turn::Now => break,
                 Turn::TooLate => return Err(PlacementError::TurnExpired),
                 Turn::TooFewEngines => {
-                    if !had_too_few {
+                    if !lacked_engines {
                         log::info!(target: "request", id = job.request.as_ref(); "waiting for more engines");
                     }
-                    had_too_few = true;
+                    lacked_engines = true;
                     MAX_POLL_INTERVAL
                 }
                 Turn::TooCostly => {
-                    if !had_to_give_way {
+                    if !has_yielded {
                         log::info!(target: "request", id = job.request.as_ref(); "yielding to other prompts");
                     }
-                    had_to_give_way = true;
+                    has_yielded = true;
                     MAX_POLL_INTERVAL
                 }
                 Turn::PassedOver => {
--- a/crates/ringbend-relay/src/refusal.rs
+++ b/crates/ringbend-relay/src/refusal.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether the request may have been run.
+    /// The run state that the response reports.
     pub(crate) fn run_state(self) -> RunState {
         match self {
             Self::MayHaveRun | Self::Late => RunState::MayHaveRun,
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -125,8 +125,8 @@
                 .await?,
         );
         if let Some(address) = listen.metrics {
-            let page = Rc::new(AdminServer { node: node.clone() });
-            servers.push(start_server(address.into(), page).await?);
+            let admin = Rc::new(AdminServer { node: node.clone() });
+            servers.push(start_server(address.into(), admin).await?);
         }
         let config =
             Watch::<ConfigItem, ConfigItem, _>::new(node.clone(), ports.config, ConfigCopy);
--- a/crates/ringbend-relay/src/runs.rs
+++ b/crates/ringbend-relay/src/runs.rs
@@ -219,20 +219,22 @@
     /// Waits for the first response of two runs.
     async fn race(
         &mut self,
-        mut one: Run,
-        mut two: Run,
+        mut first_run: Run,
+        mut second_run: Run,
     ) -> Result<(Run, ResponseStart), SendFailure> {
         let deadline = self.attempts.deadline();
         let (started, is_second) = {
-            let first = self.run_until(&one.dependencies, deadline, &mut one.started);
-            let second = self.run_until(&two.dependencies, deadline, &mut two.started);
+            let first = self.run_until(&first_run.dependencies, deadline, &mut first_run.started);
+            let second =
+                self.run_until(&second_run.dependencies, deadline, &mut second_run.started);
             tokio::select! {
                 biased;
                 started = first => (started, false),
                 started = second => (started, true),
             }
         };
-        let (run, mut other) = if is_second { (two, one) } else { (one, two) };
+        let (run, mut other) =
+            if is_second { (second_run, first_run) } else { (first_run, second_run) };
         match self.settle(run, started) {
             Ok((run, started)) if !started.response.not_run => {
                 // The request succeeded, so the end of the other run's endpoint is not attributed
--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -80,8 +80,8 @@
     /// Merges draining endpoints known to another instance. Those from a member are forwarded to
     /// all instances, those from a scheduler to the members.
     pub(crate) fn merge_drains(&self, digest: &LoadDigest, from_scheduler: bool) {
-        for told in &digest.drains {
-            match decode_drain(told) {
+        for encoded in &digest.drains {
+            match decode_drain(encoded) {
                 Ok(drain) => self.record_drain(drain, "another instance", !from_scheduler),
                 Err(e) => log::warn!(target: "peers", error:% = e; "invalid drain in digest"),
             }
--- a/crates/ringbend-relay/src/watch.rs
+++ b/crates/ringbend-relay/src/watch.rs
@@ -24,7 +24,7 @@
 }
 
 /// The table-specific part of a watch.
-pub(crate) trait TableCopy<Whole, Change> {
+pub(crate) trait TableCopy<Item, Change> {
     /// The table's name in logs.
     const NAME: &'static str;
 
@@ -35,7 +35,7 @@
     const DETECTS_OUTAGES: bool;
 
     /// Replaces the copy.
-    fn replace(&self, node: &Node, items: Vec<Whole>, cursor: Cursor);
+    fn replace(&self, node: &Node, items: Vec<Item>, cursor: Cursor);
 
     /// Applies changes up to `cursor`.
     fn apply(&self, node: &Node, items: Vec<Change>, cursor: Cursor);
@@ -72,17 +72,17 @@
 }
 
 /// Follows one table for as long as the process lives.
-pub(crate) struct Watch<Whole, Change, C> {
+pub(crate) struct Watch<Item, Change, C> {
     node: Rc<Node>,
-    source: Rc<dyn Source<Whole, Change>>,
+    source: Rc<dyn Source<Item, Change>>,
     copy: C,
     lost_at: Option<Timestamp>,
-    pauses: StoreBackoff,
+    backoff: StoreBackoff,
 }
 
-impl<Whole, Change, C: TableCopy<Whole, Change>> Watch<Whole, Change, C> {
-    pub(crate) fn new(node: Rc<Node>, source: Rc<dyn Source<Whole, Change>>, copy: C) -> Self {
-        Self { node, source, copy, lost_at: None, pauses: StoreBackoff::default() }
+impl<Item, Change, C: TableCopy<Item, Change>> Watch<Item, Change, C> {
+    pub(crate) fn new(node: Rc<Node>, source: Rc<dyn Source<Item, Change>>, copy: C) -> Self {
+        Self { node, source, copy, lost_at: None, backoff: StoreBackoff::default() }
     }
 
     pub(crate) async fn run(mut self) {
@@ -202,8 +202,8 @@
         self.copy.prove(&self.node, proof, wait.is_zero());
     }
 
-    fn record_invalid_rows(&self, bad: &[InvalidRow]) {
-        for row in bad {
+    fn record_invalid_rows(&self, rows: &[InvalidRow]) {
+        for row in rows {
             log::warn!(
                 target: "store", table = C::NAME, key:% = row.key, why:% = row.reason; "skipping invalid row"
             );
@@ -212,7 +212,7 @@
     }
 
     fn record_response(&mut self) {
-        self.pauses.reset();
+        self.backoff.reset();
         if C::DETECTS_OUTAGES && self.node.store_lost_at.take().is_some() {
             self.node.store_recovered.notify_waiters();
         }
@@ -251,8 +251,8 @@
 
     fn next_delay(&mut self) -> Duration {
         let instances = self.node.peers.borrow().instances(self.node.clock.now());
-        let draw = self.node.rng.borrow_mut().random();
-        self.pauses.next_delay(instances, C::DETECTS_OUTAGES, draw)
+        let sample = self.node.rng.borrow_mut().random();
+        self.backoff.next_delay(instances, C::DETECTS_OUTAGES, sample)
     }
 }
 
