--- a/crates/ringbend-relay/src/engine_pace.rs
+++ b/crates/ringbend-relay/src/engine_pace.rs
@@ -176,8 +176,8 @@
 
     /// Applies paces and suspicions reported by other schedulers.
     pub(crate) fn merge_paces(self: &Rc<Self>, digest: &LoadDigest) {
-        for encode in &digest.paces {
-            match decode_engine_pace(encode) {
+        for encoded in &digest.paces {
+            match decode_engine_pace(encoded) {
                 Ok((engine, pace)) => drop(self.apply_pace(&engine, pace)),
                 Err(e) => log::warn!(target: "peers", error:% = e; "invalid engine pace in digest"),
             }
