--- a/crates/ringbend-relay/src/fields.rs
+++ b/crates/ringbend-relay/src/log_fields.rs
@@ -1,27 +1,27 @@
-//! How values look in log lines.
+//! Formatting of values in log messages.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Milliseconds, or a dash where there is nothing to tell.
+/// Milliseconds, or a dash if there is no value.
 pub(crate) struct Millis(pub(crate) Option<Duration>);
 
 impl fmt::Display for Millis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Some(span) => write!(f, "{}", span.as_millis()),
+            Some(duration) => write!(f, "{}", duration.as_millis()),
             None => write!(f, "-"),
         }
     }
 }
 
-/// A word for an outcome that may be missing.
-pub(crate) struct Word<T>(pub(crate) Option<T>);
+/// The debug format of an optional outcome.
+pub(crate) struct OrNoAnswer<T>(pub(crate) Option<T>);
 
-impl<T: fmt::Debug> fmt::Display for Word<T> {
+impl<T: fmt::Debug> fmt::Display for OrNoAnswer<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.0 {
-            Some(word) => write!(f, "{word:?}"),
+            Some(value) => write!(f, "{value:?}"),
             None => write!(f, "no answer"),
         }
     }
