--- a/crates/ringbend-playground/src/fleet.rs
+++ b/crates/ringbend-playground/src/fleet.rs
@@ -177,16 +177,16 @@
             let model = String::from("standin");
             let engine_cfg =
                 EngineConfig { spec: cfg.spec.clone(), report_lag: cfg.report_lag, model };
-            engines.push(engine::run(ANY, engine_cfg).await?);
+            engines.push(engine::start(ANY, engine_cfg).await?);
         }
         let mut services = Vec::new();
         for _ in 0..cfg.services {
-            services.push(service::run(ANY).await?);
+            services.push(service::start(ANY).await?);
         }
         let entries = entries(&cfg, &engines, &services);
-        let table = table::run(ANY, cfg.rates).await?;
-        let objects = objects::run(ANY).await?;
-        let list = instances::run(ANY, cfg.list_lag, entries).await?;
+        let table = table::start(ANY, cfg.rates).await?;
+        let objects = objects::start(ANY).await?;
+        let list = instances::start(ANY, cfg.list_lag, entries).await?;
         let certs = std::env::temp_dir().join(format!(
             "ringbend-playground-{}-{}",
             std::process::id(),
--- a/crates/ringbend-playground/src/load.rs
+++ b/crates/ringbend-playground/src/load.rs
@@ -8,7 +8,7 @@
 use futures_util::StreamExt;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use ringbend_standins::service::CALL_KEY;
+use ringbend_standins::service::CALL_KEY_HEADER;
 use ringbend_standins::token_text;
 use ringbend_types::{PromptBucket, RunState, Seed};
 use serde_json::Value;
@@ -138,7 +138,7 @@
             .post(url)
             .bearer_auth(CALLER_KEY)
             .insert_header(("x-ringbend-request-key", key))
-            .insert_header((CALL_KEY, key));
+            .insert_header((CALL_KEY_HEADER, key));
         let lost = CallResult { bucket: None, verdict: Verdict::Lost, first_token: None };
         let Ok(mut res) = req.send_body(body.to_owned()).await else { return lost };
         let success = res.status().is_success();
--- a/crates/ringbend-standins/src/engine.rs
+++ b/crates/ringbend-standins/src/engine.rs
@@ -1,18 +1,18 @@
-//! A model engine over HTTP.
+//! A simulated model engine over HTTP.
 //!
-//! | route | does |
+//! | route | purpose |
 //! |---|---|
-//! | `POST /v1/completions`, `POST /v1/chat/completions` | runs a prompt; events when `stream` is true |
-//! | `POST /cancel/ATTEMPT` | ends an attempt |
-//! | `GET /load` | a late [`LoadReport`](ringbend_platform::LoadReport) |
-//! | `GET /cache-events/SEQUENCE` | [`CacheEvent`](ringbend_platform::CacheEvent)s after a number |
-//! | `GET`, `POST /reservations`, `DELETE /reservations/ATTEMPT` | memory held for other engines' attempts |
-//! | `POST /kv/export`, `POST /kv/import` | holds exported KV until `DELETE /reservations/ATTEMPT` |
-//! | `POST /orders` | [`Order`](ringbend_platform::Order)s; 409 with the highest number when fenced off |
+//! | `POST /v1/completions`, `POST /v1/chat/completions` | runs a prompt; responds with server-sent events when `stream` is true |
+//! | `POST /cancel/ATTEMPT` | cancels an attempt |
+//! | `GET /load` | a delayed [`LoadReport`](ringbend_platform::LoadReport) |
+//! | `GET /cache-events/SEQUENCE` | [`CacheEvent`](ringbend_platform::CacheEvent)s after this sequence number |
+//! | `GET`, `POST /reservations`, `DELETE /reservations/ATTEMPT` | memory reserved for attempts that run on other engines |
+//! | `POST /kv/export`, `POST /kv/import` | reserves memory for exported KV until `DELETE /reservations/ATTEMPT` |
+//! | `POST /orders` | [`Order`](ringbend_platform::Order)s; 409 with the highest known fencing number when the order's is lower |
 //! | `PUT /faults`, `GET /stats` | [`EngineFaults`], [`EngineStats`] |
 //!
-//! Any engine continues an answer that another began: the request carries
-//! `"resume": {"tokens": N, "text": "…"}`, and the text is checked.
+//! Any engine can continue an answer that another engine started: the request then carries
+//! `"resume": {"tokens": N, "text": "…"}`, and the engine verifies the text.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -28,80 +28,80 @@
 use crate::engine_api::EngineService;
 use crate::engine_driver::EngineDriver;
 
-/// What a stand-in engine is.
+/// Configuration of a simulated engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Its speed and memory.
+    /// Speed and memory.
     pub spec: EngineSpec,
-    /// How late its load reports are.
+    /// Delay of the load reports.
     pub report_lag: Duration,
-    /// The model it says it runs.
+    /// Model name in the responses.
     pub model: String,
 }
 
-/// Faults that a test switches on.
+/// Faults that a test can inject.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Accept requests and never answer; running ones stand still.
+    /// Accept requests but never respond; running requests make no progress.
     pub freeze: bool,
-    /// Refuse each request without running it.
+    /// Reject each request without running it.
     pub refuse: bool,
-    /// Answer each request with an error, as if running it had failed.
+    /// Respond to each request with an error, as if running it had failed.
     pub error: bool,
-    /// Delay the head of each answer, in milliseconds.
+    /// Delay of each response's headers, in milliseconds.
     pub delay_ms: u64,
-    /// Cut the next answers, this many, in the middle of the stream.
+    /// Number of upcoming streamed responses to cut off midway.
     pub cut_streams: u32,
-    /// Put the next answers, this many, under another attempt's id.
+    /// Number of upcoming responses to send with another attempt's id.
     pub wrong_attempt: u32,
-    /// Swap the next events, this many, with those of another running answer.
+    /// Number of upcoming events to swap with those of another running response.
     pub cross_events: u32,
-    /// Ignore cancels and hang-ups.
+    /// Ignore cancellations and closed connections.
     pub ignore_cancel: bool,
-    /// Take no new work and say so.
+    /// Accept no new work and report the engine as leaving.
     pub leave: bool,
-    /// Lose every second cache event.
+    /// Drop every second cache event.
     pub lose_cache_events: bool,
 }
 
-/// What an engine holds and did.
+/// State and counters of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStats {
-    /// Attempts waiting or running.
+    /// Number of attempts that wait or run.
     pub sequences: usize,
     /// KV memory in use.
     pub kv_used: TokenCount,
-    /// The most KV memory ever in use.
+    /// Highest KV memory use so far.
     pub peak_kv: TokenCount,
-    /// Reservations held for other engines.
+    /// Number of reservations held for other engines.
     pub reservations: usize,
-    /// Attempts taken in.
+    /// Number of accepted attempts.
     pub submitted: u64,
-    /// Requests whose answer was generated from its first token more than once.
+    /// Requests whose answer was started from the first token more than once.
     pub rerun: Vec<RequestId>,
 }
 
-/// A running stand-in engine. Dropping it is the engine's death: listener, connections' answers
-/// and all.
+/// A running simulated engine. Dropping it simulates a crash: it closes the listener and ends the
+/// responses of all connections.
 pub struct Engine {
     server: Server,
     driver: Rc<EngineDriver>,
-    steps: JoinHandle<()>,
+    step_task: JoinHandle<()>,
 }
 
 impl Engine {
-    /// Where it listens.
+    /// Returns the address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// What it holds and did.
+    /// Returns the engine's state and counters.
     pub fn stats(&self) -> EngineStats {
         self.driver.stats()
     }
 
-    /// Switches faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.driver.set_faults(faults);
     }
@@ -109,21 +109,21 @@
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.steps.abort();
-        self.driver.die();
+        self.step_task.abort();
+        self.driver.crash();
     }
 }
 
-/// Serves an engine.
+/// Starts a simulated engine that listens on `address`.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
-pub async fn run(address: SocketAddr, cfg: EngineConfig) -> std::io::Result<Engine> {
+/// Fails if the address cannot be bound.
+pub async fn start(address: SocketAddr, cfg: EngineConfig) -> std::io::Result<Engine> {
     let model = RefCell::new(EngineModel::new(cfg.spec.clone()));
     let driver = Rc::new(EngineDriver::new(Clock::start(), model, cfg.report_lag));
-    let steps = tokio::task::spawn_local(driver.clone().run());
+    let step_task = tokio::task::spawn_local(driver.clone().run());
     let service = Rc::new(EngineService::new(driver.clone(), cfg.model));
     let server = serve(address, ServerConfig::default(), service).await?;
-    Ok(Engine { server, driver, steps })
+    Ok(Engine { server, driver, step_task })
 }
--- a/crates/ringbend-standins/src/engine_api.rs
+++ b/crates/ringbend-standins/src/engine_api.rs
@@ -1,4 +1,4 @@
-//! The engine's routes.
+//! HTTP routes of the simulated engine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::engine_driver::{EngineDriver, Job, Token};
-use crate::words::token_text;
+use crate::engine_driver::{EngineDriver, GenerationRequest, Token};
+use crate::token_text::token_text;
 
-/// Longest body, in bytes.
+/// Largest accepted request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// Bytes of prompt per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Tokens generated when the request names no number.
+/// Number of tokens to generate when the request has no `max_tokens`.
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
-/// Events held for a reader that is slower than the engine.
-const STREAM_DEPTH: usize = 256;
+/// Number of events buffered for a client that reads more slowly than the engine generates.
+const STREAM_BUFFER_EVENTS: usize = 256;
 
 #[derive(Deserialize)]
-struct Prompt<'a> {
+struct CompletionRequest<'a> {
     #[serde(borrow)]
     prompt: Option<&'a RawValue>,
     #[serde(borrow)]
@@ -52,14 +52,15 @@
     text: String,
 }
 
-/// What an answer is written with.
+/// Determines how a response is written.
 #[derive(Clone)]
-struct Voice {
+struct ResponseFormat {
     chat: bool,
     model: String,
     prompt_tokens: u64,
 }
 
+/// The HTTP handler of a simulated engine.
 pub(crate) struct EngineService {
     driver: Rc<EngineDriver>,
     model: String,
@@ -70,14 +71,14 @@
         Self { driver, model }
     }
 
-    async fn answer(&self, mut req: HttpRequest) -> HttpResponse {
-        if self.driver.is_dead() {
+    async fn route(&self, mut req: HttpRequest) -> HttpResponse {
+        if self.driver.has_crashed() {
             let (tx, res) = stream(StatusCode::OK, 1);
             let _ = tx.try_send(Err(StreamError));
             return res;
         }
-        let time = Duration::from_secs(30);
-        let Ok(body) = read_body(req.take_payload(), MAX_BODY_BYTES, time).await else {
+        let timeout = Duration::from_secs(30);
+        let Ok(body) = read_body(req.take_payload(), MAX_BODY_BYTES, timeout).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
         let method = req.method().clone();
@@ -85,18 +86,25 @@
         let mut parts = path.trim_start_matches('/').splitn(2, '/');
         let (first, rest) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
         match (method, first, rest) {
-            (Method::POST, "v1", "completions") => self.run(&req, &body, false).await,
-            (Method::POST, "v1", "chat/completions") => self.run(&req, &body, true).await,
-            (Method::PUT, "faults", _) => parsed(&body, |faults| {
+            (Method::POST, "v1", "completions") => self.run_prompt(&req, &body, false).await,
+            (Method::POST, "v1", "chat/completions") => self.run_prompt(&req, &body, true).await,
+            (Method::PUT, "faults", _) => with_json(&body, |faults| {
                 self.driver.set_faults(faults);
                 empty(StatusCode::NO_CONTENT)
             }),
             (Method::GET, "stats", _) => json(StatusCode::OK, &self.driver.stats()),
-            (method, first, rest) => self.control(method, first, rest, &body).await,
+            (method, first, rest) => self.route_control(method, first, rest, &body).await,
         }
     }
 
-    async fn control(&self, method: Method, first: &str, rest: &str, body: &[u8]) -> HttpResponse {
+    /// Handles the load report, cancellation, cache, reservation and order routes.
+    async fn route_control(
+        &self,
+        method: Method,
+        first: &str,
+        rest: &str,
+        body: &[u8],
+    ) -> HttpResponse {
         if self.driver.faults().freeze {
             std::future::pending::<()>().await;
         }
@@ -118,10 +126,10 @@
                 json(StatusCode::OK, &model.borrow().reservations())
             }
             (Method::POST, "reservations", _) | (Method::POST, "kv", "export" | "import") => {
-                parsed(body, |reservation: Reservation| {
+                with_json(body, |reservation: Reservation| {
                     match model.borrow_mut().reserve(reservation) {
                         Ok(()) => empty(StatusCode::CREATED),
-                        Err(e) => refused(e),
+                        Err(e) => rejection(e),
                     }
                 })
             }
@@ -130,7 +138,7 @@
                 empty(StatusCode::NO_CONTENT)
             }),
             (Method::POST, "orders", _) => {
-                parsed(body, |order: Order| match self.driver.order(order) {
+                with_json(body, |order: Order| match self.driver.order(order) {
                     Ok(()) => empty(StatusCode::NO_CONTENT),
                     Err(refusal) => json(StatusCode::CONFLICT, &refusal),
                 })
@@ -139,81 +147,90 @@
         }
     }
 
-    async fn run(&self, req: &HttpRequest, body: &[u8], chat: bool) -> HttpResponse {
+    async fn run_prompt(&self, req: &HttpRequest, body: &[u8], chat: bool) -> HttpResponse {
         let faults = self.driver.faults();
         if faults.freeze {
             std::future::pending::<()>().await;
         }
         if faults.refuse {
-            return refused(SubmitError::Full);
+            return rejection(SubmitError::Full);
         }
         if faults.error {
             return empty(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        let Ok(prompt) = serde_json::from_slice::<Prompt<'_>>(body) else {
+        let Ok(prompt) = serde_json::from_slice::<CompletionRequest<'_>>(body) else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        let Some((job, voice)) = self.job(req, &prompt, chat) else {
+        let Some((generation, format)) = self.parse_prompt(req, &prompt, chat) else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        let (attempt, request) = (job.submit.attempt, job.request);
-        let first = job.submit.resume_from;
-        let tokens = match self.driver.submit(job) {
+        let (attempt, request) = (generation.submit.attempt, generation.request);
+        let first = generation.submit.resume_from;
+        let tokens = match self.driver.submit(generation) {
             Ok(tokens) => tokens,
-            Err(e) => return refused(e),
+            Err(e) => return rejection(e),
         };
         if faults.delay_ms > 0 {
             actix_rt::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
         let mut res = if prompt.stream {
-            let (tx, res) = stream(StatusCode::OK, STREAM_DEPTH);
+            let (tx, res) = stream(StatusCode::OK, STREAM_BUFFER_EVENTS);
             let driver = self.driver.clone();
-            tokio::task::spawn_local(write(driver, attempt, tokens, tx, voice));
+            tokio::task::spawn_local(write_events(driver, attempt, tokens, tx, format));
             res
         } else {
-            whole(request, tokens, &voice, first).await
+            collect_response(request, tokens, &format, first).await
         };
-        self.dress(&mut res, attempt, prompt.stream);
+        self.add_headers(&mut res, attempt, prompt.stream);
         res
     }
 
-    fn job(&self, req: &HttpRequest, prompt: &Prompt<'_>, chat: bool) -> Option<(Job, Voice)> {
+    /// Returns `None` if the prompt is missing, or if the text to resume from is not the one that
+    /// the prompt generates.
+    fn parse_prompt(
+        &self,
+        req: &HttpRequest,
+        prompt: &CompletionRequest<'_>,
+        chat: bool,
+    ) -> Option<(GenerationRequest, ResponseFormat)> {
         let raw = if chat { prompt.messages } else { prompt.prompt }?.get().as_bytes();
         let prompt_hash = xxh3_64(raw);
         let resume_from = prompt.resume.as_ref().map_or(0, |r| r.tokens);
-        let known: String = (0..resume_from).map(|i| token_text(prompt_hash, i)).collect();
-        if prompt.resume.as_ref().is_some_and(|r| r.text != known) {
+        let resumed_text: String = (0..resume_from).map(|i| token_text(prompt_hash, i)).collect();
+        if prompt.resume.as_ref().is_some_and(|r| r.text != resumed_text) {
             return None;
         }
         let prompt_tokens = (raw.len() as u64).div_ceil(BYTES_PER_TOKEN);
         let submit = Submit {
-            attempt: header(req, headers::ATTEMPT_ID).unwrap_or_else(|| self.own_attempt()),
+            attempt: parse_header(req, headers::ATTEMPT_ID)
+                .unwrap_or_else(|| self.new_attempt_id()),
             prompt_tokens: TokenCount(prompt_tokens),
             max_tokens: prompt.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             resume_from,
-            priority: header(req, headers::PRIORITY).unwrap_or(0),
+            priority: parse_header(req, headers::PRIORITY).unwrap_or(0),
             blocks: prefix_blocks(raw),
-            borrowed: header(req, headers::BORROWED_TOKENS).unwrap_or_default(),
+            borrowed: parse_header(req, headers::BORROWED_TOKENS).unwrap_or_default(),
         };
-        let request = header(req, headers::REQUEST_ID).unwrap_or(RequestId {
+        let request = parse_header(req, headers::REQUEST_ID).unwrap_or(RequestId {
             incarnation: submit.attempt.incarnation,
             sequence: submit.attempt.sequence,
         });
-        let voice = Voice { chat, model: self.model.clone(), prompt_tokens };
-        Some((Job { request, prompt_hash, submit }, voice))
+        let format = ResponseFormat { chat, model: self.model.clone(), prompt_tokens };
+        Some((GenerationRequest { request, prompt_hash, submit }, format))
     }
 
-    /// An id for a request that came without one.
-    fn own_attempt(&self) -> AttemptId {
+    /// Returns an attempt id for a request without one.
+    fn new_attempt_id(&self) -> AttemptId {
         AttemptId { incarnation: 0, sequence: self.driver.stats().submitted + 1 }
     }
 
-    fn dress(&self, res: &mut HttpResponse, attempt: AttemptId, streamed: bool) {
-        let wrong = self.driver.use_fault(|faults| &mut faults.wrong_attempt);
+    /// Adds the attempt id, the load report and the content type of streamed responses.
+    fn add_headers(&self, res: &mut HttpResponse, attempt: AttemptId, streamed: bool) {
+        let wrong = self.driver.consume_fault(|faults| &mut faults.wrong_attempt);
         let echo = AttemptId { sequence: attempt.sequence + u64::from(wrong), ..attempt };
-        set(res, headers::ATTEMPT_ID, &echo.to_string());
+        set_header(res, headers::ATTEMPT_ID, &echo.to_string());
         let report = serde_json::to_string(&self.driver.report()).unwrap_or_default();
-        set(res, headers::LOAD_REPORT, &report);
+        set_header(res, headers::LOAD_REPORT, &report);
         if streamed {
             let events = HeaderValue::from_static("text/event-stream");
             res.headers_mut().insert(CONTENT_TYPE, events);
@@ -223,19 +240,19 @@
 
 impl Handler for EngineService {
     fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
-        async move { self.answer(req).await }.boxed_local()
+        async move { self.route(req).await }.boxed_local()
     }
 }
 
-/// Writes an answer's events; when the reader has gone, the attempt is ended.
-async fn write(
+/// Writes a response's events. Cancels the attempt if the client closes the connection.
+async fn write_events(
     driver: Rc<EngineDriver>,
     attempt: AttemptId,
     mut tokens: UnboundedReceiver<Token>,
     tx: StreamSender,
-    voice: Voice,
+    format: ResponseFormat,
 ) {
-    let cut = driver.use_fault(|faults| &mut faults.cut_streams);
+    let cut_stream = driver.consume_fault(|faults| &mut faults.cut_streams);
     let mut written = 0;
     loop {
         let token = tokio::select! {
@@ -244,10 +261,10 @@
         };
         let Some(token) = token else { break };
         let last = token.last;
-        if cut && written == 3 {
+        if cut_stream && written == 3 {
             break;
         }
-        if tx.send(Ok(event(&token, &voice))).await.is_err() {
+        if tx.send(Ok(format_event(&token, &format))).await.is_err() {
             break;
         }
         written += 1;
@@ -260,31 +277,32 @@
     let _ = tx.send(Err(StreamError)).await;
 }
 
-fn event(token: &Token, voice: &Voice) -> Bytes {
+fn format_event(token: &Token, format: &ResponseFormat) -> Bytes {
     let text = token_text(token.prompt_hash, token.index);
     let finish = if token.last { "\"length\"" } else { "null" };
-    let (object, piece) = if voice.chat {
+    let (object, piece) = if format.chat {
         ("chat.completion.chunk", format!("\"delta\":{{\"content\":\"{text}\"}}"))
     } else {
         ("text_completion", format!("\"text\":\"{text}\""))
     };
     let usage = if token.last {
-        let (prompt, completion) = (voice.prompt_tokens, token.index + 1);
+        let (prompt, completion) = (format.prompt_tokens, token.index + 1);
         format!(",\"usage\":{{\"prompt_tokens\":{prompt},\"completion_tokens\":{completion}}}")
     } else {
         String::new()
     };
-    let (id, model) = (token.request, &voice.model);
+    let (id, model) = (token.request, &format.model);
     Bytes::from(format!(
         "data: {{\"id\":\"{id}\",\"object\":\"{object}\",\"model\":\"{model}\",\"choices\":\
          [{{\"index\":0,{piece},\"finish_reason\":{finish}}}]{usage}}}\n\n"
     ))
 }
 
-async fn whole(
+/// Waits for all tokens and returns them in one JSON response.
+async fn collect_response(
     request: RequestId,
     mut tokens: UnboundedReceiver<Token>,
-    voice: &Voice,
+    format: &ResponseFormat,
     first: u64,
 ) -> HttpResponse {
     let mut text = String::new();
@@ -298,7 +316,7 @@
     if !ended {
         return empty(StatusCode::INTERNAL_SERVER_ERROR);
     }
-    let choice = if voice.chat {
+    let choice = if format.chat {
         serde_json::json!({"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "length"})
     } else {
         serde_json::json!({"index": 0, "text": text, "finish_reason": "length"})
@@ -307,14 +325,15 @@
         StatusCode::OK,
         &serde_json::json!({
             "id": request,
-            "model": voice.model,
+            "model": format.model,
             "choices": [choice],
-            "usage": {"prompt_tokens": voice.prompt_tokens, "completion_tokens": count},
+            "usage": {"prompt_tokens": format.prompt_tokens, "completion_tokens": count},
         }),
     )
 }
 
-fn refused(e: SubmitError) -> HttpResponse {
+/// Returns the response to a request that was rejected without being run.
+fn rejection(e: SubmitError) -> HttpResponse {
     let status = match e {
         SubmitError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
         SubmitError::Full => StatusCode::TOO_MANY_REQUESTS,
@@ -322,30 +341,30 @@
         SubmitError::Duplicate => StatusCode::CONFLICT,
     };
     let mut res = json(status, &e.to_string());
-    set(&mut res, headers::NOT_RUN, "1");
+    set_header(&mut res, headers::NOT_RUN, "1");
     res
 }
 
-fn set(res: &mut HttpResponse, name: &'static str, value: &str) {
+fn set_header(res: &mut HttpResponse, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut().insert(HeaderName::from_static(name), value);
     }
 }
 
-fn header<T: std::str::FromStr>(req: &HttpRequest, name: &str) -> Option<T> {
+fn parse_header<T: std::str::FromStr>(req: &HttpRequest, name: &str) -> Option<T> {
     req.headers().get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn with_attempt(text: &str, f: impl FnOnce(AttemptId) -> HttpResponse) -> HttpResponse {
-    text.parse().map_or_else(|_| empty(StatusCode::BAD_REQUEST), f)
+fn with_attempt(text: &str, handle: impl FnOnce(AttemptId) -> HttpResponse) -> HttpResponse {
+    text.parse().map_or_else(|_| empty(StatusCode::BAD_REQUEST), handle)
 }
 
-fn parsed<T: for<'a> Deserialize<'a>>(
+fn with_json<T: for<'a> Deserialize<'a>>(
     body: &[u8],
-    f: impl FnOnce(T) -> HttpResponse,
+    handle: impl FnOnce(T) -> HttpResponse,
 ) -> HttpResponse {
     match serde_json::from_slice(body) {
-        Ok(value) => f(value),
+        Ok(value) => handle(value),
         Err(e) => json(StatusCode::BAD_REQUEST, &e.to_string()),
     }
 }
--- a/crates/ringbend-standins/src/engine_driver.rs
+++ b/crates/ringbend-standins/src/engine_driver.rs
@@ -1,4 +1,4 @@
-//! Runs the engine model in real time and hands its tokens to the answers' streams.
+//! Runs the engine model in real time and sends its tokens to the open responses.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
 
 use crate::engine::{EngineFaults, EngineStats};
 
-/// One token on its way to an answer, with the request whose it is.
+/// A generated token, with the request that it belongs to.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Token {
     pub(crate) request: RequestId,
@@ -22,30 +22,34 @@
     pub(crate) last: bool,
 }
 
-/// A request as the driver takes it.
-pub(crate) struct Job {
+/// A request that is ready to be submitted to the model.
+pub(crate) struct GenerationRequest {
     pub(crate) request: RequestId,
     pub(crate) prompt_hash: u64,
     pub(crate) submit: Submit,
 }
 
-struct Answer {
+/// An open response and the channel that its tokens are sent over.
+struct OpenResponse {
     request: RequestId,
     prompt_hash: u64,
     tokens: mpsc::UnboundedSender<Token>,
 }
 
+/// The engine model with its clock, open responses, injected faults and counters.
 pub(crate) struct EngineDriver {
     clock: Clock,
     model: RefCell<EngineModel>,
-    answers: RefCell<BTreeMap<AttemptId, Answer>>,
+    responses: RefCell<BTreeMap<AttemptId, OpenResponse>>,
     faults: RefCell<EngineFaults>,
+    /// The previous and the latest load report; the previous one is served.
     reports: RefCell<(LoadReport, LoadReport)>,
     report_lag: Duration,
-    begun: RefCell<BTreeSet<RequestId>>,
+    /// Requests that were started from their first token.
+    started_requests: RefCell<BTreeSet<RequestId>>,
     rerun: RefCell<Vec<RequestId>>,
     submitted: Cell<u64>,
-    dead: Cell<bool>,
+    crashed: Cell<bool>,
     changed: Notify,
 }
 
@@ -55,18 +59,19 @@
         Self {
             clock,
             model,
-            answers: RefCell::new(BTreeMap::new()),
+            responses: RefCell::new(BTreeMap::new()),
             faults: RefCell::new(EngineFaults::default()),
             reports: RefCell::new((report.clone(), report)),
             report_lag,
-            begun: RefCell::new(BTreeSet::new()),
+            started_requests: RefCell::new(BTreeSet::new()),
             rerun: RefCell::new(Vec::new()),
             submitted: Cell::new(0),
-            dead: Cell::new(false),
+            crashed: Cell::new(false),
             changed: Notify::new(),
         }
     }
 
+    /// Advances the model and takes load reports when they are due. Never returns.
     pub(crate) async fn run(self: Rc<Self>) {
         let mut next_report = self.clock.now() + self.report_lag;
         loop {
@@ -93,44 +98,50 @@
         }
     }
 
-    pub(crate) fn submit(&self, job: Job) -> Result<mpsc::UnboundedReceiver<Token>, SubmitError> {
-        let attempt = job.submit.attempt;
-        if job.submit.resume_from == 0 && !self.begun.borrow_mut().insert(job.request) {
-            self.rerun.borrow_mut().push(job.request);
+    /// Submits a request to the model and returns the receiver of its tokens.
+    pub(crate) fn submit(
+        &self,
+        generation: GenerationRequest,
+    ) -> Result<mpsc::UnboundedReceiver<Token>, SubmitError> {
+        let attempt = generation.submit.attempt;
+        if generation.submit.resume_from == 0
+            && !self.started_requests.borrow_mut().insert(generation.request)
+        {
+            self.rerun.borrow_mut().push(generation.request);
         }
-        self.model.borrow_mut().submit(self.clock.now(), job.submit)?;
+        self.model.borrow_mut().submit(self.clock.now(), generation.submit)?;
         self.submitted.set(self.submitted.get() + 1);
         let (tokens, rx) = mpsc::unbounded_channel();
-        let Job { request, prompt_hash, .. } = job;
-        self.answers.borrow_mut().insert(attempt, Answer { request, prompt_hash, tokens });
+        let GenerationRequest { request, prompt_hash, .. } = generation;
+        self.responses.borrow_mut().insert(attempt, OpenResponse { request, prompt_hash, tokens });
         self.changed.notify_one();
         Ok(rx)
     }
 
     fn deliver(&self, output: EngineOutput) {
-        let mut answers = self.answers.borrow_mut();
-        let Some(answer) = answers.get(&output.attempt) else { return };
+        let mut responses = self.responses.borrow_mut();
+        let Some(response) = responses.get(&output.attempt) else { return };
         let token = Token {
-            request: answer.request,
-            prompt_hash: answer.prompt_hash,
+            request: response.request,
+            prompt_hash: response.prompt_hash,
             index: output.index,
             last: output.last,
         };
-        let other = answers.iter().find(|(attempt, _)| **attempt != output.attempt);
+        let other = responses.iter().find(|(attempt, _)| **attempt != output.attempt);
         let mut faults = self.faults.borrow_mut();
         match other {
             Some((_, other)) if faults.cross_events > 0 => {
                 faults.cross_events -= 1;
                 let _ = other.tokens.send(token);
-                let theirs = Token { request: other.request, ..token };
-                let _ = answer.tokens.send(theirs);
+                let swapped = Token { request: other.request, ..token };
+                let _ = response.tokens.send(swapped);
             }
             _ => {
-                let _ = answer.tokens.send(token);
+                let _ = response.tokens.send(token);
             }
         }
         if output.last {
-            answers.remove(&output.attempt);
+            responses.remove(&output.attempt);
         }
     }
 
@@ -138,7 +149,7 @@
         if self.faults.borrow().ignore_cancel {
             return false;
         }
-        self.answers.borrow_mut().remove(&attempt);
+        self.responses.borrow_mut().remove(&attempt);
         let ended = self.model.borrow_mut().cancel(self.clock.now(), attempt);
         self.changed.notify_one();
         ended
@@ -163,13 +174,13 @@
         self.faults.borrow().clone()
     }
 
-    /// Uses up one of a counted fault; returns whether there was one.
-    pub(crate) fn use_fault(&self, count: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
+    /// Decrements a fault counter and returns whether it was above zero.
+    pub(crate) fn consume_fault(&self, count: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
         let mut faults = self.faults.borrow_mut();
-        let left = count(&mut faults);
-        let used = *left > 0;
-        *left = left.saturating_sub(1);
-        used
+        let remaining = count(&mut faults);
+        let consumed = *remaining > 0;
+        *remaining = remaining.saturating_sub(1);
+        consumed
     }
 
     pub(crate) fn set_faults(&self, faults: EngineFaults) {
@@ -179,17 +190,18 @@
         self.changed.notify_one();
     }
 
-    /// Ends every answer at once, as when the process dies.
-    pub(crate) fn die(&self) {
-        self.dead.set(true);
-        self.answers.borrow_mut().clear();
+    /// Ends all open responses at once, like a crash of the process.
+    pub(crate) fn crash(&self) {
+        self.crashed.set(true);
+        self.responses.borrow_mut().clear();
     }
 
-    pub(crate) fn is_dead(&self) -> bool {
-        self.dead.get()
+    pub(crate) fn has_crashed(&self) -> bool {
+        self.crashed.get()
     }
 
-    /// The load as it was one to two lags ago; an engine that leaves says so at once.
+    /// Returns the load as it was one to two report lags ago. That the engine is leaving is
+    /// reported without delay.
     pub(crate) fn report(&self) -> LoadReport {
         let mut report = self.reports.borrow().0.clone();
         if self.faults.borrow().leave {
--- a/crates/ringbend-standins/src/instances.rs
+++ b/crates/ringbend-standins/src/instances.rs
@@ -1,5 +1,6 @@
-//! The instance list over HTTP: `GET /v1/endpoints` lists what a reader sees after the lag,
-//! `PUT /v1/endpoints` takes an [`EndpointEntry`], `DELETE /v1/endpoints/ID` removes one.
+//! A simulated instance list over HTTP: `GET /v1/endpoints` returns the entries that are visible
+//! after the lag, `PUT /v1/endpoints` adds or replaces an [`EndpointEntry`], and
+//! `DELETE /v1/endpoints/ID` removes one.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,7 +18,7 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest entry, in bytes.
+/// Largest accepted entry, in bytes.
 const MAX_ENTRY_BYTES: usize = 64 << 10;
 
 struct InstanceList {
@@ -25,12 +26,13 @@
     model: RefCell<InstanceListModel>,
 }
 
-/// Serves a list that starts with `entries`, already seen, and lags by `lag` after that.
+/// Starts an instance list that listens on `address`. `entries` are visible at once; later changes
+/// become visible after `lag`.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
-pub async fn run(
+/// Fails if the address cannot be bound.
+pub async fn start(
     address: SocketAddr,
     lag: Duration,
     entries: Vec<EndpointEntry>,
@@ -42,12 +44,12 @@
 
 impl Handler for InstanceList {
     fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
-        async move { self.answer(req).await }.boxed_local()
+        async move { self.route(req).await }.boxed_local()
     }
 }
 
 impl InstanceList {
-    async fn answer(&self, mut req: HttpRequest) -> HttpResponse {
+    async fn route(&self, mut req: HttpRequest) -> HttpResponse {
         let method = req.method().clone();
         let path = req.path().to_owned();
         let now = self.clock.now();
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The list, or 304 when the reader's entity tag is the list's.
+    /// Returns the list, or 304 if its entity tag is the one in the request's `If-None-Match`.
     fn get(&self, req: &HttpRequest) -> HttpResponse {
         let list = self.model.borrow_mut().view(self.clock.now());
         let mut res = json(StatusCode::OK, &list);
@@ -73,7 +75,7 @@
         if req
             .headers()
             .get(IF_NONE_MATCH)
-            .is_some_and(|theirs| theirs.as_bytes() == tag.as_bytes())
+            .is_some_and(|known_tag| known_tag.as_bytes() == tag.as_bytes())
         {
             res = empty(StatusCode::NOT_MODIFIED);
         }
@@ -84,8 +86,8 @@
     }
 
     async fn put(&self, req: &mut HttpRequest) -> HttpResponse {
-        let time = Duration::from_secs(10);
-        let Ok(body) = read_body(req.take_payload(), MAX_ENTRY_BYTES, time).await else {
+        let timeout = Duration::from_secs(10);
+        let Ok(body) = read_body(req.take_payload(), MAX_ENTRY_BYTES, timeout).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
         match serde_json::from_slice::<EndpointEntry>(&body) {
--- a/crates/ringbend-standins/src/lib.rs
+++ b/crates/ringbend-standins/src/lib.rs
@@ -1,14 +1,15 @@
-//! Small stand-ins of the platform, each served over HTTP, with faults that a test switches on.
+//! Stand-ins (fakes) for the services of the platform. Each is served over HTTP and has faults that
+//! a test can inject.
 //!
-//! | stand-in | what it serves |
+//! | module | what it simulates |
 //! |---|---|
-//! | [`engine`] | prompts, load reports, cache events, reservations, KV export, orders |
-//! | [`service`] | plain calls that count how often each key ran |
+//! | [`engine`] | a model engine: prompts, load reports, cache events, reservations, KV export, orders |
+//! | [`service`] | an HTTP service that counts how often it ran the calls of each key |
 //! | [`table`] | the transactional table service |
 //! | [`objects`] | the object store |
 //! | [`instances`] | the instance list |
 //!
-//! They are for tests, the playground and the README; nothing of Ringbend itself links them.
+//! Tests, the playground and the examples in the README use them. Ringbend itself does not link them.
 
 pub mod engine;
 mod engine_api;
@@ -17,6 +18,6 @@
 pub mod objects;
 pub mod service;
 pub mod table;
-mod words;
+mod token_text;
 
-pub use words::token_text;
+pub use token_text::token_text;
--- a/crates/ringbend-standins/src/main.rs
+++ b/crates/ringbend-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! `ringbend-standins`: one stand-in of the platform per process.
+//! The `ringbend-standins` binary: runs one stand-in for a service of the platform.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,19 +10,19 @@
 use ringbend_standins::{engine, instances, objects, service, table};
 use ringbend_types::{TokenCount, TokensPerSecond};
 
-/// Stand-ins of the platform, for tests and trials.
+/// Runs a stand-in for one service of the platform, for tests and local trials.
 #[derive(FromArgs)]
 struct Args {
-    /// the address to listen on; port 0 takes a free one
+    /// address to listen on, IP:port; port 0 selects a free port
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     listen: SocketAddr,
     #[argh(subcommand)]
-    kind: Kind,
+    kind: StandinCommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Kind {
+enum StandinCommand {
     Engine(EngineArgs),
     Service(ServiceArgs),
     Table(TableArgs),
@@ -30,60 +30,60 @@
     Instances(InstancesArgs),
 }
 
-/// A model engine.
+/// run a simulated model engine
 #[derive(FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct EngineArgs {
-    /// prompt tokens prefilled a second
+    /// prompt tokens prefilled per second
     #[argh(option, default = "20_000")]
     prefill_rate: u64,
-    /// milliseconds of a step without prefill
+    /// duration of a decoding step without prefill, in milliseconds
     #[argh(option, default = "20")]
     step_ms: u64,
-    /// KV memory in tokens
+    /// KV memory, in tokens
     #[argh(option, default = "400_000")]
     kv_tokens: u64,
-    /// milliseconds by which load reports are late
+    /// delay of load reports, in milliseconds
     #[argh(option, default = "200")]
     report_lag_ms: u64,
-    /// the model's name
+    /// name of the model in responses
     #[argh(option, default = "String::from(\"standin\")")]
     model: String,
-    /// obey orders whatever their fencing number
+    /// carry out orders without checking their fencing numbers
     #[argh(switch)]
     ignore_fencing: bool,
 }
 
-/// A plain service.
+/// run an HTTP service that counts the runs of each call key
 #[derive(FromArgs)]
 #[argh(subcommand, name = "service")]
 struct ServiceArgs {}
 
-/// The transactional table service.
+/// run a transactional table service
 #[derive(FromArgs)]
 #[argh(subcommand, name = "table")]
 struct TableArgs {
-    /// commits a second
+    /// commits per second
     #[argh(option, default = "400")]
     writes_per_s: u32,
-    /// reads a second
+    /// reads per second
     #[argh(option, default = "2000")]
     reads_per_s: u32,
 }
 
-/// The object store.
+/// run an object store
 #[derive(FromArgs)]
 #[argh(subcommand, name = "objects")]
 struct ObjectsArgs {}
 
-/// The instance list.
+/// run an instance list
 #[derive(FromArgs)]
 #[argh(subcommand, name = "instances")]
 struct InstancesArgs {
-    /// milliseconds by which changes are late
+    /// time until a change becomes visible, in milliseconds
     #[argh(option, default = "2000")]
     lag_ms: u64,
-    /// a JSON file with the entries to start with
+    /// JSON file with the initial entries
     #[argh(option)]
     entries: Option<PathBuf>,
 }
@@ -103,27 +103,29 @@
 async fn run(args: Args) -> std::io::Result<()> {
     let listen = args.listen;
     match args.kind {
-        Kind::Engine(args) => {
-            let engine = engine::run(listen, engine_config(args)).await?;
-            wait(engine.address()).await
+        StandinCommand::Engine(args) => {
+            let engine = engine::start(listen, engine_config(args)).await?;
+            run_until_signal(engine.address()).await
         }
-        Kind::Service(ServiceArgs {}) => wait(service::run(listen).await?.address()).await,
-        Kind::Table(TableArgs { writes_per_s, reads_per_s }) => {
-            let server = table::run(listen, TableRates { writes_per_s, reads_per_s }).await?;
-            wait(server.address()).await
+        StandinCommand::Service(ServiceArgs {}) => {
+            run_until_signal(service::start(listen).await?.address()).await
         }
-        Kind::Objects(ObjectsArgs {}) => {
-            let server = objects::run(listen).await?;
-            wait(server.address()).await
+        StandinCommand::Table(TableArgs { writes_per_s, reads_per_s }) => {
+            let server = table::start(listen, TableRates { writes_per_s, reads_per_s }).await?;
+            run_until_signal(server.address()).await
         }
-        Kind::Instances(InstancesArgs { lag_ms, entries }) => {
+        StandinCommand::Objects(ObjectsArgs {}) => {
+            let server = objects::start(listen).await?;
+            run_until_signal(server.address()).await
+        }
+        StandinCommand::Instances(InstancesArgs { lag_ms, entries }) => {
             let entries = match entries {
                 Some(path) => serde_json::from_slice(&std::fs::read(path)?)?,
                 None => Vec::new(),
             };
             let lag = Duration::from_millis(lag_ms);
-            let server = instances::run(listen, lag, entries).await?;
-            wait(server.address()).await
+            let server = instances::start(listen, lag, entries).await?;
+            run_until_signal(server.address()).await
         }
     }
 }
@@ -140,8 +142,8 @@
     engine::EngineConfig { spec, report_lag, model: args.model }
 }
 
-/// Prints the address, which callers wait for, and runs until a signal.
-async fn wait(address: SocketAddr) -> std::io::Result<()> {
+/// Prints the address, which the starting program waits for, and runs until SIGTERM or SIGINT.
+async fn run_until_signal(address: SocketAddr) -> std::io::Result<()> {
     println!("listening on {address}");
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     tokio::select! {
--- a/crates/ringbend-standins/src/objects.rs
+++ b/crates/ringbend-standins/src/objects.rs
@@ -1,5 +1,5 @@
-//! The object store over HTTP: `PUT` and `GET /objects/NAME`. `PUT /faults/outage` and
-//! `DELETE /faults/outage` switch an outage.
+//! A simulated object store over HTTP: `PUT` and `GET /objects/NAME`. `PUT /faults/outage` starts an
+//! outage and `DELETE /faults/outage` ends it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     Handler, HttpRequest, HttpResponse, Server, ServerConfig, empty, read_body, serve, text,
 };
 
-/// Largest object, in bytes.
+/// Largest accepted object, in bytes.
 const MAX_OBJECT_BYTES: usize = 64 << 20;
 
 #[derive(Default)]
@@ -24,23 +24,23 @@
     outage: Cell<bool>,
 }
 
-/// Serves an empty object store.
+/// Starts an empty object store that listens on `address`.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
-pub async fn run(address: SocketAddr) -> std::io::Result<Server> {
+/// Fails if the address cannot be bound.
+pub async fn start(address: SocketAddr) -> std::io::Result<Server> {
     serve(address, ServerConfig::default(), Rc::new(ObjectStore::default())).await
 }
 
 impl Handler for ObjectStore {
     fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
-        async move { self.answer(req).await }.boxed_local()
+        async move { self.route(req).await }.boxed_local()
     }
 }
 
 impl ObjectStore {
-    async fn answer(&self, mut req: HttpRequest) -> HttpResponse {
+    async fn route(&self, mut req: HttpRequest) -> HttpResponse {
         let method = req.method().clone();
         let path = req.path().to_owned();
         if path == "/faults/outage" {
@@ -64,8 +64,8 @@
     }
 
     async fn put(&self, name: &str, req: &mut HttpRequest) -> HttpResponse {
-        let time = Duration::from_secs(30);
-        match read_body(req.take_payload(), MAX_OBJECT_BYTES, time).await {
+        let timeout = Duration::from_secs(30);
+        match read_body(req.take_payload(), MAX_OBJECT_BYTES, timeout).await {
             Ok(object) => {
                 self.objects.borrow_mut().insert(name.to_owned(), object);
                 empty(StatusCode::NO_CONTENT)
--- a/crates/ringbend-standins/src/service.rs
+++ b/crates/ringbend-standins/src/service.rs
@@ -1,8 +1,9 @@
-//! A plain service over HTTP that remembers how often each call ran.
+//! A simulated HTTP service that counts how often it ran the calls of each key.
 //!
-//! Any method on `/…` runs once per arrival and answers `{"path", "method", "run", "body"}`, where
-//! `run` counts the runs of the caller's `x-call-key`. `GET /_stats` lists the keys that ran more
-//! than once, `PUT /_faults` takes [`ServiceFaults`].
+//! Each request to `/…` is run once, whatever its method, and is answered with
+//! `{"path", "method", "run", "body"}`, where `run` is the number of runs for the request's
+//! `x-call-key` so far. `GET /_stats` returns [`ServiceStats`], `PUT /_faults` takes
+//! [`ServiceFaults`].
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,73 +22,73 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Longest body, in bytes.
+/// Largest accepted request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// The header by which the service counts runs.
-pub const CALL_KEY: &str = "x-call-key";
+/// The request header with the key under which the service counts runs.
+pub const CALL_KEY_HEADER: &str = "x-call-key";
 
-/// Faults that a test switches on.
+/// Faults that a test can inject.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Run the call, then close the connection without an answer.
+    /// Run the call, then close the connection without a response.
     pub lose_answer: bool,
-    /// Refuse each call without running it.
+    /// Reject each call without running it.
     pub refuse: bool,
-    /// Accept calls and never answer.
+    /// Accept calls but never respond.
     pub freeze: bool,
-    /// Delay each answer, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// How often calls ran.
+/// Numbers of runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStats {
-    /// All runs.
+    /// Number of runs in all.
     pub runs: u64,
-    /// Runs by key.
+    /// Number of runs by key.
     pub by_key: BTreeMap<String, u64>,
 }
 
-/// What a call answers.
+/// The body of the response to a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceAnswer {
-    /// The path that was called.
+pub struct ServiceResponse {
+    /// The request's path.
     pub path: String,
-    /// The method.
+    /// The request's method.
     pub method: String,
-    /// How often the key has run, this run included.
+    /// Number of runs of the call's key, including this one; always 1 for a call without a key.
     pub run: u64,
-    /// The body that was sent.
+    /// The request's body.
     pub body: String,
 }
 
 #[derive(Default)]
-struct PlainService {
+struct CountingService {
     stats: RefCell<ServiceStats>,
     faults: RefCell<ServiceFaults>,
 }
 
-/// Serves a plain service.
+/// Starts a service that listens on `address`.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
-pub async fn run(address: SocketAddr) -> std::io::Result<Server> {
-    serve(address, ServerConfig::default(), Rc::new(PlainService::default())).await
+/// Fails if the address cannot be bound.
+pub async fn start(address: SocketAddr) -> std::io::Result<Server> {
+    serve(address, ServerConfig::default(), Rc::new(CountingService::default())).await
 }
 
-impl Handler for PlainService {
+impl Handler for CountingService {
     fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
-        async move { self.answer(req).await }.boxed_local()
+        async move { self.route(req).await }.boxed_local()
     }
 }
 
-impl PlainService {
-    async fn answer(&self, mut req: HttpRequest) -> HttpResponse {
-        let time = Duration::from_secs(10);
-        let Ok(body) = read_body(req.take_payload(), MAX_BODY_BYTES, time).await else {
+impl CountingService {
+    async fn route(&self, mut req: HttpRequest) -> HttpResponse {
+        let timeout = Duration::from_secs(10);
+        let Ok(body) = read_body(req.take_payload(), MAX_BODY_BYTES, timeout).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
         match req.path() {
@@ -114,7 +115,7 @@
         if faults.freeze {
             std::future::pending::<()>().await;
         }
-        let run = self.count(req);
+        let run = self.record_run(req);
         if faults.delay_ms > 0 {
             actix_rt::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
@@ -123,13 +124,13 @@
             let _ = tx.try_send(Err(StreamError));
             return res;
         }
-        let answer = ServiceAnswer {
+        let response = ServiceResponse {
             path: req.path().to_owned(),
             method: req.method().to_string(),
             run,
             body: String::from_utf8_lossy(body).into_owned(),
         };
-        let mut res = json(StatusCode::OK, &answer);
+        let mut res = json(StatusCode::OK, &response);
         if let Some(attempt) = req.headers().get(headers::ATTEMPT_ID) {
             let name = HeaderName::from_static(headers::ATTEMPT_ID);
             res.headers_mut().insert(name, attempt.clone());
@@ -137,10 +138,11 @@
         res
     }
 
-    fn count(&self, req: &HttpRequest) -> u64 {
+    /// Counts a run of the call and returns the number of runs of its key so far.
+    fn record_run(&self, req: &HttpRequest) -> u64 {
         let mut stats = self.stats.borrow_mut();
         stats.runs += 1;
-        let key = req.headers().get(CALL_KEY).and_then(|key| key.to_str().ok());
+        let key = req.headers().get(CALL_KEY_HEADER).and_then(|key| key.to_str().ok());
         match key {
             Some(key) => {
                 let runs = stats.by_key.entry(key.to_owned()).or_default();
--- a/crates/ringbend-standins/src/table.rs
+++ b/crates/ringbend-standins/src/table.rs
@@ -1,9 +1,9 @@
-//! The table service over HTTP.
+//! A simulated transactional table service over HTTP.
 //!
-//! `POST /v1/call` takes a [`TableRequest`] as JSON and answers a
-//! [`TableReply`](ringbend_platform::TableReply), or 503 when nothing was done. A lost answer is
-//! a connection that closes without one. `PUT /faults` takes [`TableFaults`], `GET /stats` counts
-//! calls.
+//! `POST /v1/call` takes a [`TableRequest`] as JSON and returns a
+//! [`TableReply`](ringbend_platform::TableReply), or 503 if the request had no effect. To simulate a
+//! lost reply, the connection is closed without one. `PUT /faults` takes [`TableFaults`],
+//! `GET /stats` returns [`TableStats`].
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,15 +21,15 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Longest call, in bytes.
-const MAX_CALL_BYTES: usize = 8 << 20;
+/// Largest accepted request body, in bytes.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Calls that took effect.
+/// Numbers of calls that took effect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableStats {
-    /// Commits.
+    /// Number of commits.
     pub commits: u64,
-    /// Reads and scans.
+    /// Number of reads and scans.
     pub reads: u64,
 }
 
@@ -38,12 +38,12 @@
     model: RefCell<TableModel>,
 }
 
-/// Serves an empty table.
+/// Starts an empty table service that listens on `address`.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
-pub async fn run(address: SocketAddr, rates: TableRates) -> std::io::Result<Server> {
+/// Fails if the address cannot be bound.
+pub async fn start(address: SocketAddr, rates: TableRates) -> std::io::Result<Server> {
     let model = RefCell::new(TableModel::new(rates));
     let service = Rc::new(TableService { clock: Clock::start(), model });
     serve(address, ServerConfig::default(), service).await
@@ -51,15 +51,15 @@
 
 impl Handler for TableService {
     fn handle(self: Rc<Self>, req: HttpRequest) -> LocalBoxFuture<'static, HttpResponse> {
-        async move { self.answer(req).await }.boxed_local()
+        async move { self.route(req).await }.boxed_local()
     }
 }
 
 impl TableService {
-    async fn answer(&self, mut req: HttpRequest) -> HttpResponse {
+    async fn route(&self, mut req: HttpRequest) -> HttpResponse {
         let method = req.method().clone();
         let path = req.path().to_owned();
-        let body = read_body(req.take_payload(), MAX_CALL_BYTES, Duration::from_secs(10)).await;
+        let body = read_body(req.take_payload(), MAX_BODY_BYTES, Duration::from_secs(10)).await;
         let Ok(body) = body else { return empty(StatusCode::BAD_REQUEST) };
         match (method, path.as_str()) {
             (Method::POST, "/v1/call") => match serde_json::from_slice(&body) {
@@ -91,13 +91,13 @@
         match reply {
             Ok(reply) => json(StatusCode::OK, &reply),
             Err(TableError::NotApplied) => empty(StatusCode::SERVICE_UNAVAILABLE),
-            Err(TableError::OutcomeUnknown) => cut(),
+            Err(TableError::OutcomeUnknown) => truncated_response(),
         }
     }
 }
 
-/// A response whose connection closes before the body ends.
-fn cut() -> HttpResponse {
+/// Returns a response whose connection is closed before the body ends.
+fn truncated_response() -> HttpResponse {
     let (tx, res) = stream(StatusCode::OK, 1);
     let _ = tx.try_send(Err(ringbend_runtime::StreamError));
     res
