--- a/crates/ringbend-cli/src/certs.rs
+++ b/crates/ringbend-cli/src/certs.rs
@@ -1,53 +1,53 @@
-//! A test set of keys and certificates between instances.
+//! Keys and certificates for TLS between instances in tests and trials.
 
 use std::fmt;
 use std::path::Path;
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
-/// The name that every instance's certificate must carry.
+/// The subject alternative name that the certificate of every instance must have.
 pub const PEER_NAME: &str = "ringbend-peer";
 
-/// Why the set could not be written.
+/// The keys and certificates could not be written.
 #[derive(Debug)]
-pub enum CertsError {
-    /// A key or certificate could not be made.
-    Make(rcgen::Error),
+pub enum CertificatesError {
+    /// A key or certificate could not be generated.
+    Generate(rcgen::Error),
     /// A file could not be written.
     Write(std::io::Error),
 }
 
-impl fmt::Display for CertsError {
+impl fmt::Display for CertificatesError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Make(e) => write!(f, "making keys and certificates: {e}"),
-            Self::Write(e) => write!(f, "writing keys and certificates: {e}"),
+            Self::Generate(e) => write!(f, "cannot generate keys and certificates: {e}"),
+            Self::Write(e) => write!(f, "cannot write keys and certificates: {e}"),
         }
     }
 }
 
-impl std::error::Error for CertsError {}
+impl std::error::Error for CertificatesError {}
 
-impl From<rcgen::Error> for CertsError {
+impl From<rcgen::Error> for CertificatesError {
     fn from(e: rcgen::Error) -> Self {
-        Self::Make(e)
+        Self::Generate(e)
     }
 }
 
-impl From<std::io::Error> for CertsError {
+impl From<std::io::Error> for CertificatesError {
     fn from(e: std::io::Error) -> Self {
         Self::Write(e)
     }
 }
 
-/// Writes `authority.pem`, `peer.pem` and `peer.key` into `folder`. The authority's own key is
-/// thrown away, so no further certificate can be signed by it.
+/// Writes `authority.pem`, `peer.pem` and `peer.key` into `directory`. The authority's private key is
+/// discarded, so that it can sign no further certificates.
 ///
 /// # Errors
 ///
-/// A key cannot be made or a file not written.
-pub fn write_test_certificates(folder: &Path) -> Result<(), CertsError> {
-    std::fs::create_dir_all(folder)?;
+/// Fails if a key or certificate cannot be generated or a file cannot be written.
+pub fn write_test_certificates(directory: &Path) -> Result<(), CertificatesError> {
+    std::fs::create_dir_all(directory)?;
     let mut authority = CertificateParams::new(Vec::new())?;
     authority.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     let authority_key = KeyPair::generate()?;
@@ -56,8 +56,8 @@
     let peer_key = KeyPair::generate()?;
     let peer = CertificateParams::new(vec![PEER_NAME.to_owned()])?;
     let peer_cert = peer.signed_by(&peer_key, &issuer)?;
-    std::fs::write(folder.join("authority.pem"), authority_cert.pem())?;
-    std::fs::write(folder.join("peer.pem"), peer_cert.pem())?;
-    std::fs::write(folder.join("peer.key"), peer_key.serialize_pem())?;
+    std::fs::write(directory.join("authority.pem"), authority_cert.pem())?;
+    std::fs::write(directory.join("peer.pem"), peer_cert.pem())?;
+    std::fs::write(directory.join("peer.key"), peer_key.serialize_pem())?;
     Ok(())
 }
--- a/crates/ringbend-cli/src/client.rs
+++ b/crates/ringbend-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' API.
+//! HTTP client of the operators' API.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,42 +7,44 @@
 use awc::http::Method;
 use serde_json::Value;
 
-/// Bound of one call.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest response, in bytes.
+/// Largest accepted response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Why a command failed.
 #[derive(Debug)]
 pub(crate) enum CliError {
-    /// No key was given.
-    NoKey,
-    /// A file cannot be read or written.
-    File(std::io::Error),
-    /// A file is not JSON.
-    NotJson(serde_json::Error),
-    /// Certificates could not be made.
-    Certs(ringbend_cli::CertsError),
-    /// The instance cannot be reached.
+    /// No operator's key was given.
+    MissingKey,
+    /// A file cannot be read.
+    ReadFile(std::io::Error),
+    /// A file does not hold valid JSON.
+    InvalidJson(serde_json::Error),
+    /// The certificates could not be written.
+    Certificates(ringbend_cli::CertificatesError),
+    /// The request could not be sent or its response not received.
     Unreachable(awc::error::SendRequestError),
-    /// The response broke off or is not JSON.
-    Malformed,
-    /// The instance refused the call.
-    Refused(StatusCode, Value),
+    /// The response body is incomplete or not JSON.
+    InvalidResponse,
+    /// The instance returned an error status.
+    ErrorStatus(StatusCode, Value),
 }
 
 impl CliError {
-    /// The exit code, see `docs/OPERATIONS.md`.
+    /// Returns the exit code, see `docs/OPERATIONS.md`.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            Self::NoKey | Self::File(_) | Self::NotJson(_) | Self::Certs(_) => 1,
-            Self::Refused(StatusCode::CONFLICT, _) => 3,
-            Self::Refused(StatusCode::UNPROCESSABLE_ENTITY | StatusCode::BAD_REQUEST, _) => 4,
-            Self::Refused(StatusCode::GATEWAY_TIMEOUT, _) => 5,
-            Self::Refused(StatusCode::SERVICE_UNAVAILABLE, _) => 6,
-            Self::Refused(StatusCode::UNAUTHORIZED, _) => 7,
-            Self::Refused(..) | Self::Malformed | Self::Unreachable(_) => 8,
+            Self::MissingKey | Self::ReadFile(_) | Self::InvalidJson(_) | Self::Certificates(_) => {
+                1
+            }
+            Self::ErrorStatus(StatusCode::CONFLICT, _) => 3,
+            Self::ErrorStatus(StatusCode::UNPROCESSABLE_ENTITY | StatusCode::BAD_REQUEST, _) => 4,
+            Self::ErrorStatus(StatusCode::GATEWAY_TIMEOUT, _) => 5,
+            Self::ErrorStatus(StatusCode::SERVICE_UNAVAILABLE, _) => 6,
+            Self::ErrorStatus(StatusCode::UNAUTHORIZED, _) => 7,
+            Self::ErrorStatus(..) | Self::InvalidResponse | Self::Unreachable(_) => 8,
         }
     }
 }
@@ -50,13 +52,15 @@
 impl fmt::Display for CliError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoKey => write!(f, "give --key-file or set RINGBEND_ADMIN_KEY"),
-            Self::File(e) => write!(f, "{e}"),
-            Self::NotJson(e) => write!(f, "the file is not JSON: {e}"),
-            Self::Certs(e) => write!(f, "{e}"),
+            Self::MissingKey => {
+                write!(f, "no operator's key: pass --key-file or set RINGBEND_ADMIN_KEY")
+            }
+            Self::ReadFile(e) => write!(f, "{e}"),
+            Self::InvalidJson(e) => write!(f, "the file does not hold valid JSON: {e}"),
+            Self::Certificates(e) => write!(f, "{e}"),
             Self::Unreachable(e) => write!(f, "the instance cannot be reached: {e}"),
-            Self::Malformed => write!(f, "the instance's answer broke off or is not JSON"),
-            Self::Refused(status, body) => match body.get("error").and_then(Value::as_str) {
+            Self::InvalidResponse => write!(f, "the instance's response is incomplete or not JSON"),
+            Self::ErrorStatus(status, body) => match body.get("error").and_then(Value::as_str) {
                 Some(error) => write!(f, "{error}"),
                 None => write!(f, "{status}: {body}"),
             },
@@ -66,7 +70,7 @@
 
 impl std::error::Error for CliError {}
 
-/// Speaks to one instance.
+/// Client of one instance's operators' API.
 pub(crate) struct AdminClient {
     client: awc::Client,
     base: String,
@@ -75,7 +79,7 @@
 
 impl AdminClient {
     pub(crate) fn new(admin: &str, key: String) -> Self {
-        let client = awc::Client::builder().timeout(TIMEOUT).finish();
+        let client = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
         Self { client, base: format!("http://{admin}"), key }
     }
 
@@ -105,11 +109,12 @@
             None => req.send().await,
         };
         let mut res = sent.map_err(CliError::Unreachable)?;
-        let body = res.body().limit(MAX_RESPONSE_BYTES).await.map_err(|_| CliError::Malformed)?;
-        let value: Value = serde_json::from_slice(&body).map_err(|_| CliError::Malformed)?;
+        let body =
+            res.body().limit(MAX_RESPONSE_BYTES).await.map_err(|_| CliError::InvalidResponse)?;
+        let value: Value = serde_json::from_slice(&body).map_err(|_| CliError::InvalidResponse)?;
         if res.status().is_success() {
             return Ok(value);
         }
-        Err(CliError::Refused(res.status(), value))
+        Err(CliError::ErrorStatus(res.status(), value))
     }
 }
--- a/crates/ringbend-cli/src/lib.rs
+++ b/crates/ringbend-cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! Pieces of the operators' tool that other programs of the project use too.
+//! The parts of the operators' command-line tool that other crates of the workspace use.
 
 mod certs;
 
-pub use certs::{CertsError, PEER_NAME, write_test_certificates};
+pub use certs::{CertificatesError, PEER_NAME, write_test_certificates};
--- a/crates/ringbend-cli/src/main.rs
+++ b/crates/ringbend-cli/src/main.rs
@@ -1,9 +1,9 @@
-//! `ringbend`: the operators' tool. Exit codes are listed in `docs/OPERATIONS.md`.
+//! The `ringbend` binary: the operators' command-line tool. `docs/OPERATIONS.md` lists its exit codes.
 
 mod args;
 mod client;
 mod commands;
-mod print;
+mod output;
 
 use std::process::ExitCode;
 
--- a/crates/ringbend-playground/src/fleet.rs
+++ b/crates/ringbend-playground/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ringbend_cli::{CertsError, write_test_certificates};
+use ringbend_cli::{CertificatesError, write_test_certificates};
 use ringbend_models::{EngineSpec, TableRates};
 use ringbend_platform::{EndpointEntry, EndpointKind, EndpointState};
 use ringbend_runtime::Server;
@@ -82,7 +82,7 @@
     /// A stand-in cannot listen.
     Listen(std::io::Error),
     /// Certificates could not be made.
-    Certs(CertsError),
+    Certs(CertificatesError),
     /// An instance did not start.
     Instance(String),
     /// An instance was not ready in time.
@@ -108,8 +108,8 @@
     }
 }
 
-impl From<CertsError> for FleetError {
-    fn from(e: CertsError) -> Self {
+impl From<CertificatesError> for FleetError {
+    fn from(e: CertificatesError) -> Self {
         Self::Certs(e)
     }
 }
