--- a/crates/ringbend-playground/src/fleet.rs
+++ b/crates/ringbend-playground/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances and stand-ins on loopback.
+//! Starts instances and stand-ins for the platform's services on loopback.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,35 +22,36 @@
 };
 use tokio::sync::oneshot;
 
-/// The operators' key of every instance.
+/// The operators' key of all instances.
 pub const ADMIN_KEY: &str = "playground-admin";
 
-/// The key of the client account `peach`.
+/// The caller key of the client account `peach`.
 pub const CALLER_KEY: &str = "playground-peach";
 
-/// Any free port on loopback.
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+/// The loopback address with port 0, which selects a free port.
+const LOOPBACK_ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// What the fleet is made of.
+/// Configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
-    /// How many instances.
+    /// Number of instances.
     pub instances: usize,
-    /// How many engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How many plain services.
+    /// Number of endpoints of the service `dispatch`.
     pub services: usize,
-    /// Each engine's speed and memory.
-    pub spec: EngineSpec,
-    /// How late load reports are.
+    /// Speed and memory of each engine.
+    pub engine_spec: EngineSpec,
+    /// Delay of the engines' load reports.
     pub report_lag: Duration,
-    /// How late the instance list is.
-    pub list_lag: Duration,
-    /// The table's rates.
-    pub rates: TableRates,
-    /// How long an instance is unready before it drains, in seconds.
+    /// Time until a change of the instance list becomes visible.
+    pub instance_list_lag: Duration,
+    /// Commits and reads per second of the table service.
+    pub table_rates: TableRates,
+    /// Time that an instance reports itself as not ready before it drains, in seconds.
     pub unready_s: u64,
-    /// Collector of traces.
+    /// URL of the OTLP collector for traces.
     pub otlp_url: Option<Arc<str>>,
 }
 
@@ -60,7 +61,7 @@
             instances: 3,
             engines: 6,
             services: 2,
-            spec: EngineSpec {
+            engine_spec: EngineSpec {
                 prefill_rate: TokensPerSecond(400_000),
                 decode_step: Duration::from_millis(5),
                 step_tokens: 8_192,
@@ -68,23 +69,23 @@
                 ..EngineSpec::default()
             },
             report_lag: Duration::from_millis(100),
-            list_lag: Duration::from_secs(2),
-            rates: TableRates::default(),
+            instance_list_lag: Duration::from_secs(2),
+            table_rates: TableRates::default(),
             unready_s: 0,
             otlp_url: None,
         }
     }
 }
 
-/// Why the fleet did not start.
+/// The fleet could not be started.
 #[derive(Debug)]
 pub enum FleetError {
-    /// A stand-in cannot listen.
+    /// A stand-in cannot listen on its address.
     Listen(std::io::Error),
-    /// Certificates could not be made.
-    Certs(CertificatesError),
-    /// An instance did not start.
-    Instance(String),
+    /// The certificates could not be written.
+    Certificates(CertificatesError),
+    /// An instance could not be started.
+    StartInstance(String),
     /// An instance was not ready in time.
     NotReady,
 }
@@ -92,10 +93,10 @@
 impl fmt::Display for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listen(e) => write!(f, "a stand-in cannot listen: {e}"),
-            Self::Certs(e) => write!(f, "{e}"),
-            Self::Instance(e) => write!(f, "an instance did not start: {e}"),
-            Self::NotReady => write!(f, "an instance was not ready in time"),
+            Self::Listen(e) => write!(f, "a stand-in cannot listen on its address: {e}"),
+            Self::Certificates(e) => write!(f, "{e}"),
+            Self::StartInstance(e) => write!(f, "an instance could not be started: {e}"),
+            Self::NotReady => write!(f, "an instance did not become ready in time"),
         }
     }
 }
@@ -110,33 +111,35 @@
 
 impl From<CertificatesError> for FleetError {
     fn from(e: CertificatesError) -> Self {
-        Self::Certs(e)
+        Self::Certificates(e)
     }
 }
 
-enum Order {
+/// A command to an instance's thread.
+enum InstanceCommand {
     Drain(oneshot::Sender<StopReport>),
 }
 
-/// An instance on a thread of its own. Dropping it kills the instance.
+/// An instance that runs on its own thread. Dropping the handle stops the thread without a graceful
+/// shutdown.
 pub struct InstanceHandle {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceId,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where operators connect.
-    pub admin: SocketAddr,
-    /// Where other instances connect.
-    pub peers: SocketAddr,
-    orders: tokio::sync::mpsc::UnboundedSender<Order>,
+    /// Address of the callers' API.
+    pub callers_address: SocketAddr,
+    /// Address of the operators' API.
+    pub admin_address: SocketAddr,
+    /// Address for connections from other instances.
+    pub peers_address: SocketAddr,
+    commands: tokio::sync::mpsc::UnboundedSender<InstanceCommand>,
     arbiter: actix_rt::Arbiter,
 }
 
 impl InstanceHandle {
-    /// Has the instance leave gracefully; returns what it cut off.
+    /// Shuts the instance down gracefully and returns the number of requests that were cut off.
     pub async fn drain(&self) -> StopReport {
         let (tx, rx) = oneshot::channel();
-        let _ = self.orders.send(Order::Drain(tx));
+        let _ = self.commands.send(InstanceCommand::Drain(tx));
         rx.await.unwrap_or_default()
     }
 }
@@ -147,54 +150,65 @@
     }
 }
 
-/// Instances and stand-ins.
+/// Running instances and stand-ins.
 pub struct Fleet {
     /// The instances.
     pub instances: Vec<InstanceHandle>,
-    /// The engines, all of the model `standin`.
+    /// The engines, all of which serve the model `standin`.
     pub engines: Vec<Engine>,
-    /// The plain services, all named `dispatch`.
+    /// The endpoints of the service `dispatch`.
     pub services: Vec<Server>,
     /// The table service.
     pub table: Server,
     /// The object store.
     pub objects: Server,
     /// The instance list.
-    pub list: Server,
+    pub instance_list: Server,
     cfg: FleetConfig,
-    certs: PathBuf,
+    certificates_dir: PathBuf,
 }
 
 impl Fleet {
-    /// Starts everything and waits until every instance is ready.
+    /// Starts the stand-ins and the instances and waits until all instances are ready.
     ///
     /// # Errors
     ///
-    /// Something cannot listen, or an instance does not become ready.
+    /// Fails if a stand-in cannot listen, the certificates cannot be written, or an instance cannot be
+    /// started or does not become ready in time.
     pub async fn start(cfg: FleetConfig) -> Result<Self, FleetError> {
         let mut engines = Vec::new();
         for _ in 0..cfg.engines {
             let model = String::from("standin");
             let engine_cfg =
-                EngineConfig { spec: cfg.spec.clone(), report_lag: cfg.report_lag, model };
-            engines.push(engine::start(ANY, engine_cfg).await?);
+                EngineConfig { spec: cfg.engine_spec.clone(), report_lag: cfg.report_lag, model };
+            engines.push(engine::start(LOOPBACK_ANY_PORT, engine_cfg).await?);
         }
         let mut services = Vec::new();
         for _ in 0..cfg.services {
-            services.push(service::start(ANY).await?);
+            services.push(service::start(LOOPBACK_ANY_PORT).await?);
         }
-        let entries = entries(&cfg, &engines, &services);
-        let table = table::start(ANY, cfg.rates).await?;
-        let objects = objects::start(ANY).await?;
-        let list = instances::start(ANY, cfg.list_lag, entries).await?;
-        let certs = std::env::temp_dir().join(format!(
+        let entries = instance_list_entries(&cfg, &engines, &services);
+        let table = table::start(LOOPBACK_ANY_PORT, cfg.table_rates).await?;
+        let objects = objects::start(LOOPBACK_ANY_PORT).await?;
+        let instance_list =
+            instances::start(LOOPBACK_ANY_PORT, cfg.instance_list_lag, entries).await?;
+        let certificates_dir = std::env::temp_dir().join(format!(
             "ringbend-playground-{}-{}",
             std::process::id(),
             table.address().port()
         ));
-        write_test_certificates(&certs)?;
+        write_test_certificates(&certificates_dir)?;
         let instances = Vec::new();
-        let mut fleet = Self { instances, engines, services, table, objects, list, cfg, certs };
+        let mut fleet = Self {
+            instances,
+            engines,
+            services,
+            table,
+            objects,
+            instance_list,
+            cfg,
+            certificates_dir,
+        };
         for n in 0..fleet.cfg.instances {
             fleet.add_instance(&format!("instance-{n}")).await?;
         }
@@ -202,29 +216,30 @@
         Ok(fleet)
     }
 
-    /// The folder with the keys and certificates between the instances.
-    pub fn certificates(&self) -> &Path {
-        &self.certs
+    /// Returns the directory with the keys and certificates for TLS between instances.
+    pub fn certificates_dir(&self) -> &Path {
+        &self.certificates_dir
     }
 
-    /// Starts one more instance under `name`.
+    /// Starts another instance, with the running instances as its seeds.
     ///
     /// # Errors
     ///
-    /// It does not start.
+    /// Fails if the instance cannot be started.
     pub async fn add_instance(&mut self, name: &str) -> Result<(), FleetError> {
-        let seeds = self.instances.iter().map(|i| i.peers).collect();
+        let seeds = self.instances.iter().map(|i| i.peers_address).collect();
         let cfg = self.daemon_config(name, seeds);
         self.instances.push(start_instance(cfg).await?);
         Ok(())
     }
 
-    /// Starts one more instance that knows no peers and is known to none, as if cut off.
+    /// Starts another instance that knows no other instance and is known to none, as in a network
+    /// partition.
     ///
     /// # Errors
     ///
-    /// It does not start.
-    pub async fn add_isolated(&mut self, name: &str) -> Result<(), FleetError> {
+    /// Fails if the instance cannot be started.
+    pub async fn add_isolated_instance(&mut self, name: &str) -> Result<(), FleetError> {
         let cfg = self.daemon_config(name, Vec::new());
         self.instances.push(start_instance(cfg).await?);
         Ok(())
@@ -236,23 +251,23 @@
         DaemonConfig {
             instance: name.parse().unwrap_or_else(|_| unreachable!("a valid instance")),
             data_centre: data_centre(),
-            callers_address: ANY,
-            admin_address: ANY,
-            peers_address: ANY,
+            callers_address: LOOPBACK_ANY_PORT,
+            admin_address: LOOPBACK_ANY_PORT,
+            peers_address: LOOPBACK_ANY_PORT,
             seeds,
             seed: None,
             platform: PlatformConfig {
                 table_url: url(&self.table),
                 objects_url: url(&self.objects),
-                instances_url: url(&self.list),
+                instances_url: url(&self.instance_list),
                 poll_ms: 500,
                 call_timeout_ms: 1_000,
                 endpoint_subset: 0,
             },
             tls: TlsConfig {
-                certificate: self.certs.join("peer.pem"),
-                key: self.certs.join("peer.key"),
-                authority: self.certs.join("authority.pem"),
+                certificate: self.certificates_dir.join("peer.pem"),
+                key: self.certificates_dir.join("peer.key"),
+                authority: self.certificates_dir.join("authority.pem"),
             },
             callers: vec![CallerKey { account, key: CALLER_KEY.into() }],
             admin: AdminConfig { keys: vec![ADMIN_KEY.into()] },
@@ -262,20 +277,20 @@
         }
     }
 
-    /// Waits until every instance is ready.
+    /// Waits until all instances are ready.
     ///
     /// # Errors
     ///
-    /// One is not ready within ten seconds.
+    /// Fails if an instance is not ready within ten seconds.
     pub async fn wait_ready(&self) -> Result<(), FleetError> {
-        const LOOKS: u32 = 500;
+        const MAX_POLLS: u32 = 500;
         let client = awc::Client::default();
         for instance in &self.instances {
-            let url = format!("http://{}/readyz", instance.callers);
-            let mut looks = 0;
+            let url = format!("http://{}/readyz", instance.callers_address);
+            let mut polls = 0;
             while !client.get(&url).send().await.is_ok_and(|res| res.status().is_success()) {
-                looks += 1;
-                if looks == LOOKS {
+                polls += 1;
+                if polls == MAX_POLLS {
                     return Err(FleetError::NotReady);
                 }
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
@@ -287,7 +302,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.certs);
+        let _ = std::fs::remove_dir_all(&self.certificates_dir);
     }
 }
 
@@ -295,13 +310,18 @@
     "dc-1".parse().unwrap_or_else(|_| unreachable!("a valid data centre"))
 }
 
-fn entries(cfg: &FleetConfig, engines: &[Engine], services: &[Server]) -> Vec<EndpointEntry> {
+/// Returns the instance list's entries for the engines and services.
+fn instance_list_entries(
+    cfg: &FleetConfig,
+    engines: &[Engine],
+    services: &[Server],
+) -> Vec<EndpointEntry> {
     let entry = |kind, n: usize, address| {
-        let (word, service) = match kind {
+        let (id_prefix, service) = match kind {
             EndpointKind::Engine => ("engine", "standin"),
             EndpointKind::Service => ("service", "dispatch"),
         };
-        let id: Result<EndpointId, _> = format!("{word}-{n}").parse();
+        let id: Result<EndpointId, _> = format!("{id_prefix}-{n}").parse();
         let service: Result<ServiceName, _> = service.parse();
         let is_engine = kind == EndpointKind::Engine;
         EndpointEntry {
@@ -310,8 +330,8 @@
             data_centre: data_centre(),
             kind,
             service: service.unwrap_or_else(|_| unreachable!("a valid service")),
-            checks_fencing: cfg.spec.checks_fencing,
-            kv_capacity: if is_engine { cfg.spec.kv_capacity } else { TokenCount(0) },
+            checks_fencing: cfg.engine_spec.checks_fencing,
+            kv_capacity: if is_engine { cfg.engine_spec.kv_capacity } else { TokenCount(0) },
             state: EndpointState::Live,
         }
     };
@@ -322,29 +342,31 @@
     engines.chain(services).collect()
 }
 
+/// Starts an instance on a new thread and waits until it listens.
 async fn start_instance(cfg: DaemonConfig) -> Result<InstanceHandle, FleetError> {
     let arbiter = actix_rt::Arbiter::new();
     let name = cfg.instance.clone();
     let (started, addresses) = oneshot::channel();
-    let (orders, mut taken) = tokio::sync::mpsc::unbounded_channel();
+    let (commands, mut received) = tokio::sync::mpsc::unbounded_channel();
     arbiter.spawn_fn(move || {
         actix_rt::spawn(async move {
             let instance = match Instance::start(cfg).await {
                 Ok(instance) => instance,
                 Err(e) => {
-                    let _ = started.send(Err(FleetError::Instance(format!("{e:?}"))));
+                    let _ = started.send(Err(FleetError::StartInstance(format!("{e:?}"))));
                     return;
                 }
             };
-            let callers = instance.callers_address();
-            let admin = instance.admin_address();
-            let _ = started.send(Ok((callers, admin, instance.peers_address())));
-            while let Some(Order::Drain(done)) = taken.recv().await {
+            let callers_address = instance.callers_address();
+            let admin_address = instance.admin_address();
+            let _ = started.send(Ok((callers_address, admin_address, instance.peers_address())));
+            while let Some(InstanceCommand::Drain(done)) = received.recv().await {
                 let _ = done.send(instance.drain().await);
             }
         });
     });
-    let gone = || FleetError::Instance(String::from("its thread ended"));
-    let (callers, admin, peers) = addresses.await.map_err(|_| gone())??;
-    Ok(InstanceHandle { name, callers, admin, peers, orders, arbiter })
+    let thread_ended = || FleetError::StartInstance(String::from("the instance's thread ended"));
+    let (callers_address, admin_address, peers_address) =
+        addresses.await.map_err(|_| thread_ended())??;
+    Ok(InstanceHandle { name, callers_address, admin_address, peers_address, commands, arbiter })
 }
--- a/crates/ringbend-playground/src/lib.rs
+++ b/crates/ringbend-playground/src/lib.rs
@@ -1,10 +1,11 @@
-//! Ringbend on one machine: several instances and stand-ins of the platform on loopback, in one
-//! process, with a load of prompts of very unlike lengths and a report of how they fared.
+//! Runs Ringbend on one machine: several instances and stand-ins for the platform's services on
+//! loopback in one process, a load of prompts whose lengths differ widely, and a report of the
+//! outcomes and latencies.
 
 mod fleet;
-mod load;
+mod mixed_load;
 mod report;
 
 pub use fleet::{ADMIN_KEY, CALLER_KEY, Fleet, FleetConfig, FleetError, InstanceHandle};
-pub use load::{CallResult, Caller, LoadConfig, Verdict, prompt_text, run_load};
-pub use report::{Report, TtftLine};
+pub use mixed_load::{CallOutcome, CallResult, LoadClient, LoadConfig, prompt_text, run_load};
+pub use report::{Report, TtftPercentiles};
--- a/crates/ringbend-playground/src/report.rs
+++ b/crates/ringbend-playground/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a load.
+//! The report on a load.
 
 use std::collections::BTreeMap;
 
@@ -6,76 +6,79 @@
 use ringbend_types::PromptBucket;
 use serde::Serialize;
 
-use crate::load::{CallResult, Verdict};
+use crate::mixed_load::{CallOutcome, CallResult};
 
-/// Time to first token of one bucket, in milliseconds.
+/// Percentiles of the time to first token of one prompt bucket, in milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct TtftLine {
-    /// Half were faster.
+pub struct TtftPercentiles {
+    /// 50th percentile.
     pub p50: f64,
-    /// 95 in 100 were faster.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 were faster.
+    /// 99th percentile.
     pub p99: f64,
-    /// How many were measured.
+    /// Number of measured prompts.
     pub n: u64,
 }
 
-/// A load's report.
+/// Outcomes and latencies of a load.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Whole and right answers.
+    /// Number of complete and correct answers.
     pub answered: u64,
-    /// Admitted, and failed clearly.
+    /// Number of admitted requests that failed with a well-formed error.
     pub failed: u64,
-    /// Refused, and not run.
+    /// Number of requests that were rejected and not run.
     pub not_run: u64,
-    /// Neither an answer nor a clear failure.
+    /// Number of requests with neither a complete answer nor a well-formed error.
     pub lost: u64,
-    /// Admitted, as the instances count.
+    /// Number of requests that the instances counted as admitted.
     pub admitted: u64,
-    /// Keys that ran more than once.
+    /// Number of keys whose call ran more than once.
     pub double_runs: u64,
-    /// Answers of another request.
+    /// Number of requests that got the answer to another request.
     pub crossed: u64,
-    /// KV memory still held after the last answer, in tokens.
+    /// KV memory that the engines still held some time after the last answer, in tokens.
     pub leaked_tokens: u64,
-    /// From an accepted settings change until every instance has it in force, in milliseconds.
+    /// Time from sending a settings change until it is in force at all instances, in milliseconds.
     pub settings_in_force_ms: f64,
-    /// Time to first token by prompt length.
-    pub ttft_ms: BTreeMap<&'static str, TtftLine>,
+    /// Time to first token by prompt bucket.
+    pub ttft_ms: BTreeMap<&'static str, TtftPercentiles>,
 }
 
 impl Report {
-    /// Counts the callers' results; the instances' and stand-ins' counts are filled in after.
-    pub fn of(results: &[CallResult]) -> Self {
-        let count = |f: fn(Verdict) -> bool| results.iter().filter(|r| f(r.verdict)).count() as u64;
+    /// Creates a report from the callers' results. The counts of the instances and stand-ins are left
+    /// at zero.
+    pub fn from_results(results: &[CallResult]) -> Self {
+        let count =
+            |f: fn(CallOutcome) -> bool| results.iter().filter(|r| f(r.outcome)).count() as u64;
         let mut report = Self {
             requests: results.len() as u64,
-            answered: count(|v| v == Verdict::Answered),
-            failed: count(|v| matches!(v, Verdict::Failed(_))),
-            not_run: count(|v| v == Verdict::NotRun),
-            lost: count(|v| v == Verdict::Lost),
-            crossed: count(|v| v == Verdict::Crossed),
+            answered: count(|v| v == CallOutcome::Answered),
+            failed: count(|v| matches!(v, CallOutcome::Failed(_))),
+            not_run: count(|v| v == CallOutcome::NotRun),
+            lost: count(|v| v == CallOutcome::Lost),
+            crossed: count(|v| v == CallOutcome::Crossed),
             ..Self::default()
         };
         for bucket in PromptBucket::ALL {
-            report.ttft_ms.insert(bucket.label(), ttft(results, bucket));
+            report.ttft_ms.insert(bucket.label(), ttft_percentiles(results, bucket));
         }
         report
     }
 
-    /// Whether everything that must hold does.
-    pub fn holds(&self) -> bool {
+    /// Returns whether no request was lost, crossed or run twice, no memory leaked, the instances'
+    /// count of admitted requests matches the callers', and each bucket was measured.
+    pub fn passes(&self) -> bool {
         self.admitted == self.answered + self.failed
             && self.lost + self.double_runs + self.crossed + self.leaked_tokens == 0
-            && self.ttft_ms.values().all(|line| line.n > 0)
+            && self.ttft_ms.values().all(|percentiles| percentiles.n > 0)
     }
 
-    /// The report as a table for people.
-    pub fn table(&self) -> String {
+    /// Formats the report as a plain-text table.
+    pub fn to_table(&self) -> String {
         let mut text = format!(
             "{} requests: {} answered, {} failed, {} not run, {} lost\n\
              {} double runs, {} crossed, {} tokens leaked, settings in force after {:.0} ms\n\n\
@@ -96,27 +99,27 @@
             "p99 ms",
         );
         for bucket in PromptBucket::ALL {
-            let Some(line) = self.ttft_ms.get(bucket.label()) else { continue };
+            let Some(percentiles) = self.ttft_ms.get(bucket.label()) else { continue };
             text.push_str(&format!(
                 "{:>8} {:>8} {:>10.1} {:>10.1} {:>10.1}\n",
-                bucket, line.n, line.p50, line.p95, line.p99
+                bucket, percentiles.n, percentiles.p50, percentiles.p95, percentiles.p99
             ));
         }
         text
     }
 }
 
-fn ttft(results: &[CallResult], bucket: PromptBucket) -> TtftLine {
+fn ttft_percentiles(results: &[CallResult], bucket: PromptBucket) -> TtftPercentiles {
     const MICROS_PER_MILLI: f64 = 1_000.0;
-    let Ok(mut histogram) = Histogram::<u64>::new(3) else { return TtftLine::default() };
-    let of_bucket = results
+    let Ok(mut histogram) = Histogram::<u64>::new(3) else { return TtftPercentiles::default() };
+    let first_token_times = results
         .iter()
-        .filter(|r| r.bucket == Some(bucket) && r.verdict == Verdict::Answered)
+        .filter(|r| r.bucket == Some(bucket) && r.outcome == CallOutcome::Answered)
         .filter_map(|r| r.first_token);
-    for time in of_bucket {
+    for time in first_token_times {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let _ = histogram.record(micros);
     }
     let at = |quantile| histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
-    TtftLine { p50: at(0.5), p95: at(0.95), p99: at(0.99), n: histogram.len() }
+    TtftPercentiles { p50: at(0.5), p95: at(0.95), p99: at(0.99), n: histogram.len() }
 }
--- a/crates/ringbend-playground/tests/path.rs
+++ b/crates/ringbend-playground/tests/end_to_end.rs
@@ -1,44 +1,49 @@
-//! The whole path without failures.
+//! End-to-end tests without injected faults.
 
 mod support;
 
 use bytes::Bytes;
-use ringbend_playground::{CALLER_KEY, Fleet, FleetConfig, LoadConfig, Report, Verdict, run_load};
+use ringbend_playground::{
+    CALLER_KEY, CallOutcome, Fleet, FleetConfig, LoadConfig, Report, run_load,
+};
 use ringbend_types::PromptBucket;
 use serde_json::json;
 use support::{
-    admin_get, call, change, expected, prompt, run, send, small, tokens, until, version,
+    admin_get, block_on, call, change_setting, expected_tokens, parse_tokens, send, send_prompt,
+    settings_version, small_config, wait_until,
 };
 
 #[test]
-fn a_mixed_load_is_answered_whole_and_right() {
-    run(async {
+fn a_mixed_load_gets_complete_and_correct_answers() {
+    block_on(async {
         let fleet = Fleet::start(FleetConfig::default()).await.unwrap();
-        let callers: Vec<_> = fleet.instances.iter().map(|i| i.callers).collect();
-        let load = LoadConfig { prompts: [12, 6, 3, 1], plain: 4, ..LoadConfig::default() };
+        let callers: Vec<_> = fleet.instances.iter().map(|i| i.callers_address).collect();
+        let load = LoadConfig { prompts: [12, 6, 3, 1], service_calls: 4, ..LoadConfig::default() };
         let results = run_load(&callers, &load).await;
-        let report = Report::of(&results);
+        let report = Report::from_results(&results);
         assert_eq!(report.requests, 30);
         assert_eq!((report.lost, report.crossed), (0, 0));
         let prompts = results.iter().filter(|r| r.bucket.is_some());
-        assert!(prompts.clone().all(|r| r.verdict == Verdict::Answered), "{results:?}");
+        assert!(prompts.clone().all(|r| r.outcome == CallOutcome::Answered), "{results:?}");
         let million = prompts.filter(|r| r.bucket == Some(PromptBucket::Million));
         assert_eq!(million.count(), 1);
-        until("memory is free", async || fleet.engines.iter().all(|e| e.stats().kv_used.0 == 0))
-            .await;
+        wait_until("memory is freed", async || {
+            fleet.engines.iter().all(|e| e.stats().kv_used.0 == 0)
+        })
+        .await;
     });
 }
 
 #[test]
-fn answers_come_as_events_and_as_json_in_both_shapes() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        let to = fleet.instances[0].callers;
-        let streamed = prompt(to, "hello", 5).await;
-        assert_eq!(tokens(&streamed), (expected("hello", 5), true));
+fn completions_and_chats_are_answered_with_events_or_json() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        let to = fleet.instances[0].callers_address;
+        let streamed = send_prompt(to, "hello", 5).await;
+        assert_eq!(parse_tokens(&streamed), (expected_tokens("hello", 5), true));
         let body = json!({"model": "standin", "max_tokens": 5, "prompt": "hello"}).to_string();
         let whole = call(to, "/v1/completions", &[], &body).await.json();
-        assert_eq!(whole["choices"][0]["text"], expected("hello", 5).concat());
+        assert_eq!(whole["choices"][0]["text"], expected_tokens("hello", 5).concat());
         assert_eq!(whole["usage"]["completion_tokens"], 5);
         let messages = json!([{"role": "user", "content": "hello"}]);
         let body = json!({"model": "standin", "max_tokens": 5, "messages": messages}).to_string();
@@ -49,10 +54,11 @@
 }
 
 #[test]
-fn http_2_is_spoken_as_well() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        let io = actix_rt::net::TcpStream::connect(fleet.instances[0].callers).await.unwrap();
+fn http_2_is_supported() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        let io =
+            actix_rt::net::TcpStream::connect(fleet.instances[0].callers_address).await.unwrap();
         let (mut client, connection) = h2::client::handshake(io).await.unwrap();
         tokio::task::spawn_local(async move {
             let _ = connection.await;
@@ -71,10 +77,10 @@
 }
 
 #[test]
-fn a_plain_call_is_passed_on_with_method_body_and_headers() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        let to = fleet.instances[0].callers;
+fn a_service_call_is_forwarded_with_its_path_method_and_body() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        let to = fleet.instances[0].callers_address;
         let answer = call(to, "/services/dispatch/stops?day=1", &[], "route 7").await;
         assert_eq!(answer.status, 200);
         let answer = answer.json();
@@ -84,32 +90,41 @@
 }
 
 #[test]
-fn a_setting_changed_at_one_instance_is_in_force_at_all() {
-    run(async {
-        let fleet = Fleet::start(FleetConfig { instances: 4, ..small() }).await.unwrap();
-        let accepted =
-            change(fleet.instances[0].admin, "c1", "/peach", "limits.weight", json!(7)).await;
+fn a_setting_changed_at_one_instance_takes_effect_at_all() {
+    block_on(async {
+        let fleet = Fleet::start(FleetConfig { instances: 4, ..small_config() }).await.unwrap();
+        let accepted = change_setting(
+            fleet.instances[0].admin_address,
+            "c1",
+            "/peach",
+            "limits.weight",
+            json!(7),
+        )
+        .await;
         assert_eq!(accepted.json(), json!({"outcome": "accepted", "version": 1}));
         for instance in &fleet.instances {
-            until("in force", async || version(instance.admin).await == 1).await;
+            wait_until("setting in force", async || {
+                settings_version(instance.admin_address).await == 1
+            })
+            .await;
             let path = "/v1/settings/effective?path=/peach/standin";
-            let effective = admin_get(instance.admin, path).await;
+            let effective = admin_get(instance.admin_address, path).await;
             assert_eq!(effective["limits"]["weight"], 7);
         }
     });
 }
 
-/// The code expected, headers, body.
-type Case<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str);
+/// Expected error code, request headers and request body.
+type InvalidRequest<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a str);
 
 #[test]
-fn bad_input_is_refused_clearly_and_not_run() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        let to = fleet.instances[0].callers;
+fn invalid_requests_are_rejected_with_an_error_code_and_not_run() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        let to = fleet.instances[0].callers_address;
         let path = "/v1/completions";
         let good = json!({"model": "standin", "prompt": "x"}).to_string();
-        let cases: [Case; 7] = [
+        let cases: [InvalidRequest; 7] = [
             ("bad_body", &[], "{\"model\": "),
             ("bad_body", &[], "{\"model\": \"standin\"}"),
             ("bad_body", &[], "{\"model\": \"standin\", \"prompt\": \"x\", \"max_tokens\": 1e9}"),
@@ -128,12 +143,12 @@
 }
 
 #[test]
-fn metrics_count_what_happened_with_units_in_their_names() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
+fn metrics_count_requests_and_name_their_units() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
         let instance = &fleet.instances[0];
-        assert_eq!(prompt(instance.callers, "hello", 3).await.status, 200);
-        let url = format!("http://{}/metrics", instance.admin);
+        assert_eq!(send_prompt(instance.callers_address, "hello", 3).await.status, 200);
+        let url = format!("http://{}/metrics", instance.admin_address);
         let text = send(awc::Client::default().get(url), String::new()).await.text;
         for line in [
             "ringbend_requests_admitted_total 1",
@@ -142,7 +157,7 @@
             "ringbend_attempts_total 1",
             "ringbend_live_instances 2",
         ] {
-            assert!(text.contains(line), "no {line:?} in:\n{text}");
+            assert!(text.contains(line), "{line:?} is missing in:\n{text}");
         }
     });
 }
--- a/crates/ringbend-playground/tests/failures.rs
+++ b/crates/ringbend-playground/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of endpoints, callers and the platform, on the whole path.
+//! End-to-end tests with failures of endpoints, callers, instances and the platform.
 
 mod support;
 
@@ -7,18 +7,18 @@
 use ringbend_playground::{CALLER_KEY, Fleet, FleetConfig};
 use serde_json::json;
 use support::{
-    call, change, expected, fault, keyed, prompt, put, run, runs, set_everywhere, small, tokens,
-    until, version,
+    block_on, call, call_with_key, change_setting, expected_tokens, inject_fault, parse_tokens,
+    put, run_count, send_prompt, set_everywhere, settings_version, small_config, wait_until,
 };
 
 #[test]
-fn an_engine_that_dies_in_mid_answer_is_continued_without_a_seam() {
-    run(async {
-        let mut fleet = Fleet::start(small()).await.unwrap();
-        let to = fleet.instances[0].callers;
-        let answer = tokio::task::spawn_local(async move { prompt(to, "review", 100).await });
+fn a_stream_continues_on_another_engine_after_a_crash() {
+    block_on(async {
+        let mut fleet = Fleet::start(small_config()).await.unwrap();
+        let to = fleet.instances[0].callers_address;
+        let answer = tokio::task::spawn_local(async move { send_prompt(to, "review", 100).await });
         let mut busy = None;
-        until("an engine runs it", async || {
+        wait_until("an engine runs the prompt", async || {
             busy = fleet.engines.iter().position(|e| e.stats().sequences > 0);
             busy.is_some()
         })
@@ -26,16 +26,16 @@
         actix_rt::time::sleep(Duration::from_millis(200)).await;
         drop(fleet.engines.remove(busy.unwrap()));
         let answer = answer.await.unwrap();
-        assert_eq!(tokens(&answer), (expected("review", 100), true));
+        assert_eq!(parse_tokens(&answer), (expected_tokens("review", 100), true));
     });
 }
 
 #[test]
-fn cut_crossed_and_late_answers_never_reach_a_caller() {
-    run(async {
-        let fleet = Fleet::start(FleetConfig { engines: 3, ..small() }).await.unwrap();
+fn truncated_and_misdelivered_answers_never_reach_a_caller() {
+    block_on(async {
+        let fleet = Fleet::start(FleetConfig { engines: 3, ..small_config() }).await.unwrap();
         for engine in 0..3 {
-            fault(&fleet, engine, |f| {
+            inject_fault(&fleet, engine, |f| {
                 f.cut_streams = 1;
                 f.wrong_attempt = 1;
                 f.cross_events = 1;
@@ -44,69 +44,75 @@
         set_everywhere(&fleet, "retries.attempts", json!(20)).await;
         set_everywhere(&fleet, "retries.ratio_percent", json!(100)).await;
         let calls = (0..12).map(|n| {
-            let to = fleet.instances[n % 2].callers;
+            let to = fleet.instances[n % 2].callers_address;
             async move {
                 let text = format!("prompt number {n}");
-                let answer = prompt(to, &text, 30).await;
+                let answer = send_prompt(to, &text, 30).await;
                 (text, answer)
             }
         });
         for (text, answer) in futures_util::future::join_all(calls).await {
-            assert_eq!(tokens(&answer), (expected(&text, 30), true), "{text}: {}", answer.text);
+            assert_eq!(
+                parse_tokens(&answer),
+                (expected_tokens(&text, 30), true),
+                "{text}: {}",
+                answer.text
+            );
         }
     });
 }
 
 #[test]
-fn a_frozen_engine_is_left_within_its_bound() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
+fn a_prompt_on_a_frozen_engine_is_retried_after_the_first_token_timeout() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
         set_everywhere(&fleet, "timeouts.first_token_ms", json!(300)).await;
-        fault(&fleet, 0, |f| f.freeze = true);
+        inject_fault(&fleet, 0, |f| f.freeze = true);
         for n in 0..4 {
             let text = format!("n{n}");
-            let answer = prompt(fleet.instances[0].callers, &text, 5).await;
-            assert_eq!(tokens(&answer), (expected(&text, 5), true));
+            let answer = send_prompt(fleet.instances[0].callers_address, &text, 5).await;
+            assert_eq!(parse_tokens(&answer), (expected_tokens(&text, 5), true));
         }
     });
 }
 
 #[test]
-fn with_every_engine_frozen_the_caller_hears_it_within_the_deadline() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        fault(&fleet, 0, |f| f.freeze = true);
-        fault(&fleet, 1, |f| f.freeze = true);
-        let begun = Instant::now();
+fn the_deadline_is_enforced_when_every_engine_is_frozen() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        inject_fault(&fleet, 0, |f| f.freeze = true);
+        inject_fault(&fleet, 1, |f| f.freeze = true);
+        let started_at = Instant::now();
         let body = json!({"model": "standin", "prompt": "x"}).to_string();
         let headers = [("x-ringbend-deadline-ms", "800")];
-        let answer = call(fleet.instances[0].callers, "/v1/completions", &headers, &body).await;
+        let answer =
+            call(fleet.instances[0].callers_address, "/v1/completions", &headers, &body).await;
         assert_eq!(answer.code(), "deadline_exceeded");
         assert_eq!((answer.status, answer.run_state().as_str()), (504, "may-have-run"));
         assert!(answer.retry_after.is_some());
-        assert!(begun.elapsed() < Duration::from_secs(3));
+        assert!(started_at.elapsed() < Duration::from_secs(3));
     });
 }
 
 #[test]
-fn refused_everywhere_is_told_not_run_at_once() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        fault(&fleet, 0, |f| f.refuse = true);
-        fault(&fleet, 1, |f| f.refuse = true);
-        let begun = Instant::now();
-        let answer = prompt(fleet.instances[0].callers, "x", 5).await;
+fn a_prompt_rejected_by_every_engine_is_reported_as_not_run() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        inject_fault(&fleet, 0, |f| f.refuse = true);
+        inject_fault(&fleet, 1, |f| f.refuse = true);
+        let started_at = Instant::now();
+        let answer = send_prompt(fleet.instances[0].callers_address, "x", 5).await;
         assert_eq!((answer.status, answer.run_state().as_str()), (502, "not-run"));
         assert!(answer.retry_after.is_some());
-        assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
     });
 }
 
 #[test]
-fn a_caller_that_hangs_up_frees_the_engine() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        let to = fleet.instances[0].callers;
+fn engine_memory_is_freed_when_the_caller_disconnects() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        let to = fleet.instances[0].callers_address;
         for stream in [true, false] {
             let body =
                 json!({"model": "standin", "stream": stream, "max_tokens": 5_000, "prompt": "x"});
@@ -120,128 +126,134 @@
                 std::future::pending::<()>().await;
                 drop(response);
             });
-            until("it runs", async || fleet.engines.iter().any(|e| e.stats().sequences > 0)).await;
+            wait_until("the request runs", async || {
+                fleet.engines.iter().any(|e| e.stats().sequences > 0)
+            })
+            .await;
             call.abort();
             drop(client);
-            until("it is freed", async || fleet.engines.iter().all(|e| e.stats().kv_used.0 == 0))
-                .await;
+            wait_until("memory is freed", async || {
+                fleet.engines.iter().all(|e| e.stats().kv_used.0 == 0)
+            })
+            .await;
         }
     });
 }
 
 #[test]
-fn a_lost_answer_of_a_keyed_call_is_never_run_again() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
+fn a_keyed_call_with_a_lost_response_is_not_run_again() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
         let faults = format!("http://{}/_faults", fleet.services[0].address());
         put(faults.clone(), json!({"lose_answer": true})).await;
-        let first = keyed(fleet.instances[0].callers, "count-1").await;
+        let first = call_with_key(fleet.instances[0].callers_address, "count-1").await;
         assert_eq!(
             (first.code().as_str(), first.run_state().as_str()),
             ("endpoint_failed", "may-have-run")
         );
         put(faults, json!({})).await;
-        let mut second = keyed(fleet.instances[1].callers, "count-1").await;
-        // The settlement of the first is on its way to the table.
-        until("it is settled", async || {
-            second = keyed(fleet.instances[1].callers, "count-1").await;
+        let mut second = call_with_key(fleet.instances[1].callers_address, "count-1").await;
+        // The first call's settlement may not have reached the table yet.
+        wait_until("the first call is settled", async || {
+            second = call_with_key(fleet.instances[1].callers_address, "count-1").await;
             second.code() != "in_progress"
         })
         .await;
         assert_eq!(second.code(), "earlier_may_have_run");
-        assert_eq!(runs(&fleet, "count-1").await, 1);
+        assert_eq!(run_count(&fleet, "count-1").await, 1);
     });
 }
 
 #[test]
-fn a_keyed_call_sent_again_gets_the_first_answer() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
-        let first = keyed(fleet.instances[0].callers, "count-2").await;
-        let mut second = keyed(fleet.instances[1].callers, "count-2").await;
-        until("it is settled", async || {
-            second = keyed(fleet.instances[1].callers, "count-2").await;
+fn a_repeated_keyed_call_gets_the_first_response() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
+        let first = call_with_key(fleet.instances[0].callers_address, "count-2").await;
+        let mut second = call_with_key(fleet.instances[1].callers_address, "count-2").await;
+        wait_until("the first call is settled", async || {
+            second = call_with_key(fleet.instances[1].callers_address, "count-2").await;
             second.status == 200
         })
         .await;
         assert_eq!((first.status, first.json()), (200, second.json()));
-        assert_eq!(runs(&fleet, "count-2").await, 1);
+        assert_eq!(run_count(&fleet, "count-2").await, 1);
     });
 }
 
 #[test]
-fn a_keyed_call_that_was_refused_leaves_its_key_free() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
+fn a_rejected_keyed_call_releases_its_key() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
         let faults = format!("http://{}/_faults", fleet.services[0].address());
         put(faults.clone(), json!({"refuse": true})).await;
-        let refused = keyed(fleet.instances[0].callers, "count-3").await;
+        let refused = call_with_key(fleet.instances[0].callers_address, "count-3").await;
         assert_eq!(refused.run_state(), "not-run");
         put(faults, json!({})).await;
-        until("the key is free", async || {
-            keyed(fleet.instances[1].callers, "count-3").await.status == 200
+        wait_until("the key is released", async || {
+            call_with_key(fleet.instances[1].callers_address, "count-3").await.status == 200
         })
         .await;
-        assert_eq!(runs(&fleet, "count-3").await, 1);
+        assert_eq!(run_count(&fleet, "count-3").await, 1);
     });
 }
 
 #[test]
-fn with_the_table_out_a_keyed_call_is_not_run_and_prompts_go_on() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
+fn a_table_outage_blocks_keyed_calls_but_not_prompts() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
         let faults = format!("http://{}/faults", fleet.table.address());
         put(faults.clone(), json!({"outage": true})).await;
-        let begun = Instant::now();
-        let answer = keyed(fleet.instances[0].callers, "count-4").await;
+        let started_at = Instant::now();
+        let answer = call_with_key(fleet.instances[0].callers_address, "count-4").await;
         assert_eq!((answer.code().as_str(), answer.run_state().as_str()), ("no_claim", "not-run"));
-        assert!(begun.elapsed() < Duration::from_secs(3));
-        assert_eq!(runs(&fleet, "count-4").await, 0);
-        let answer = prompt(fleet.instances[0].callers, "x", 5).await;
-        assert_eq!(tokens(&answer), (expected("x", 5), true));
+        assert!(started_at.elapsed() < Duration::from_secs(3));
+        assert_eq!(run_count(&fleet, "count-4").await, 0);
+        let answer = send_prompt(fleet.instances[0].callers_address, "x", 5).await;
+        assert_eq!(parse_tokens(&answer), (expected_tokens("x", 5), true));
         put(faults, json!({})).await;
-        assert_eq!(keyed(fleet.instances[0].callers, "count-4").await.status, 200);
+        assert_eq!(call_with_key(fleet.instances[0].callers_address, "count-4").await.status, 200);
     });
 }
 
 #[test]
-fn a_lost_answer_of_the_claim_does_not_lose_the_call() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
+fn a_keyed_call_succeeds_when_a_table_reply_is_lost() {
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
         let faults = format!("http://{}/faults", fleet.table.address());
         put(faults, json!({"lose_answers": 1})).await;
-        // Leases and presence also write; whichever commit loses its answer, the call is answered.
-        assert_eq!(keyed(fleet.instances[0].callers, "count-5").await.status, 200);
-        assert_eq!(runs(&fleet, "count-5").await, 1);
+        // Leases and presence records also commit, so the lost reply may not be the claim's. The call
+        // must succeed in either case.
+        assert_eq!(call_with_key(fleet.instances[0].callers_address, "count-5").await.status, 200);
+        assert_eq!(run_count(&fleet, "count-5").await, 1);
     });
 }
 
 #[test]
-fn the_holder_of_a_key_is_killed_and_the_second_instance_does_not_run_it() {
-    run(async {
-        let mut fleet = Fleet::start(small()).await.unwrap();
+fn a_keyed_call_is_not_run_again_after_its_instance_was_killed() {
+    block_on(async {
+        let mut fleet = Fleet::start(small_config()).await.unwrap();
         let faults = format!("http://{}/_faults", fleet.services[0].address());
         put(faults, json!({"delay_ms": 60_000})).await;
-        let to = fleet.instances[0].callers;
-        let lost = tokio::task::spawn_local(async move { keyed(to, "count-6").await });
-        until("it runs", async || runs(&fleet, "count-6").await == 1).await;
+        let to = fleet.instances[0].callers_address;
+        let lost = tokio::task::spawn_local(async move { call_with_key(to, "count-6").await });
+        wait_until("the request runs", async || run_count(&fleet, "count-6").await == 1).await;
         drop(fleet.instances.remove(0));
         lost.abort();
-        let second = keyed(fleet.instances[0].callers, "count-6").await;
+        let second = call_with_key(fleet.instances[0].callers_address, "count-6").await;
         assert_eq!(second.code(), "in_progress");
         assert!(second.retry_after.is_some());
-        assert_eq!(runs(&fleet, "count-6").await, 1);
+        assert_eq!(run_count(&fleet, "count-6").await, 1);
     });
 }
 
 #[test]
-fn a_leaving_engine_gets_no_new_work_though_the_list_has_it_live() {
-    run(async {
-        let fleet = Fleet::start(FleetConfig { instances: 3, ..small() }).await.unwrap();
-        fault(&fleet, 0, |f| f.leave = true);
+fn a_leaving_engine_gets_no_new_requests_while_listed_as_live() {
+    block_on(async {
+        let fleet = Fleet::start(FleetConfig { instances: 3, ..small_config() }).await.unwrap();
+        inject_fault(&fleet, 0, |f| f.leave = true);
         actix_rt::time::sleep(Duration::from_secs(2)).await;
         for n in 0..12 {
-            let answer = prompt(fleet.instances[n % 3].callers, "x", 2).await;
+            let answer = send_prompt(fleet.instances[n % 3].callers_address, "x", 2).await;
             assert_eq!(answer.status, 200);
         }
         assert_eq!(fleet.engines[0].stats().submitted, 0);
@@ -249,38 +261,45 @@
 }
 
 #[test]
-fn an_instance_that_starts_while_the_table_is_out_takes_settings_from_its_peers() {
-    run(async {
-        let mut fleet = Fleet::start(small()).await.unwrap();
+fn an_instance_started_during_a_table_outage_gets_settings_from_its_peers() {
+    block_on(async {
+        let mut fleet = Fleet::start(small_config()).await.unwrap();
         set_everywhere(&fleet, "limits.weight", json!(7)).await;
         let faults = format!("http://{}/faults", fleet.table.address());
         put(faults, json!({"outage": true})).await;
         fleet.add_instance("late").await.unwrap();
         fleet.wait_ready().await.unwrap();
-        assert_eq!(version(fleet.instances[2].admin).await, 1);
-        let refused = change(fleet.instances[2].admin, "c", "/", "limits.weight", json!(8)).await;
+        assert_eq!(settings_version(fleet.instances[2].admin_address).await, 1);
+        let refused =
+            change_setting(fleet.instances[2].admin_address, "c", "/", "limits.weight", json!(8))
+                .await;
         assert_eq!(refused.json()["outcome"], "not-applied");
     });
 }
 
 #[test]
-fn an_instance_cut_off_from_its_peers_takes_settings_from_the_table() {
-    run(async {
-        let mut fleet = Fleet::start(small()).await.unwrap();
-        fleet.add_isolated("alone").await.unwrap();
+fn an_instance_isolated_from_its_peers_gets_settings_from_the_table() {
+    block_on(async {
+        let mut fleet = Fleet::start(small_config()).await.unwrap();
+        fleet.add_isolated_instance("alone").await.unwrap();
         fleet.wait_ready().await.unwrap();
-        let accepted = change(fleet.instances[0].admin, "c", "/", "limits.weight", json!(9)).await;
+        let accepted =
+            change_setting(fleet.instances[0].admin_address, "c", "/", "limits.weight", json!(9))
+                .await;
         assert_eq!(accepted.status, 200);
-        let begun = Instant::now();
-        until("in force", async || version(fleet.instances[2].admin).await == 1).await;
-        assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+        let started_at = Instant::now();
+        wait_until("setting in force", async || {
+            settings_version(fleet.instances[2].admin_address).await == 1
+        })
+        .await;
+        assert!(started_at.elapsed() < Duration::from_secs(3), "{:?}", started_at.elapsed());
     });
 }
 
 #[test]
 fn a_claim_granted_after_the_deadline_is_not_used() {
-    run(async {
-        let fleet = Fleet::start(small()).await.unwrap();
+    block_on(async {
+        let fleet = Fleet::start(small_config()).await.unwrap();
         let faults = format!("http://{}/faults", fleet.table.address());
         put(faults.clone(), json!({"delay_ms": 900})).await;
         let headers = [
@@ -288,29 +307,32 @@
             ("x-call-key", "count-7"),
             ("x-ringbend-deadline-ms", "300"),
         ];
-        let to = fleet.instances[0].callers;
+        let to = fleet.instances[0].callers_address;
         let late = call(to, "/services/dispatch/count", &headers, "one box").await;
         assert_eq!(late.run_state(), "not-run", "{}", late.text);
         put(faults, json!({})).await;
-        // The late grant is given back, and the key is free for the next try, which is the first run.
-        until("the key is free", async || keyed(to, "count-7").await.status == 200).await;
-        assert_eq!(runs(&fleet, "count-7").await, 1);
+        // The late claim is released, so the next call with the key runs, and it is the first to run.
+        wait_until("the key is released", async || {
+            call_with_key(to, "count-7").await.status == 200
+        })
+        .await;
+        assert_eq!(run_count(&fleet, "count-7").await, 1);
     });
 }
 
 #[test]
-fn crossing_changes_and_lost_answers_leave_every_accepted_change_in_force() {
-    run(async {
-        let fleet = Fleet::start(FleetConfig { instances: 3, ..small() }).await.unwrap();
+fn accepted_changes_take_effect_despite_conflicts_and_lost_table_replies() {
+    block_on(async {
+        let fleet = Fleet::start(FleetConfig { instances: 3, ..small_config() }).await.unwrap();
         let faults = format!("http://{}/faults", fleet.table.address());
         put(faults, json!({"lose_answers": 5})).await;
         let changes = (0..12_u32).map(|n| {
-            let admin = fleet.instances[n as usize % 3].admin;
+            let admin = fleet.instances[n as usize % 3].admin_address;
             async move {
                 let at = format!("/account-{}", n % 4);
                 let key = ["limits.weight", "limits.burst_s", "class.priority"][n as usize / 4];
                 let value = json!(n % 7 + 1);
-                let answer = change(admin, &format!("c{n}"), &at, key, value.clone()).await;
+                let answer = change_setting(admin, &format!("c{n}"), &at, key, value.clone()).await;
                 (at, key, value, answer)
             }
         });
@@ -322,11 +344,14 @@
             highest = highest.max(answer.json()["version"].as_u64().unwrap_or(0));
         }
         for instance in &fleet.instances {
-            until("in force", async || version(instance.admin).await >= highest).await;
+            wait_until("setting in force", async || {
+                settings_version(instance.admin_address).await >= highest
+            })
+            .await;
             for (at, key, value, answer) in &ended {
                 if answer.status == 200 {
                     let path = format!("/v1/settings/node?path={at}");
-                    let node = support::admin_get(instance.admin, &path).await;
+                    let node = support::admin_get(instance.admin_address, &path).await;
                     assert_eq!(&node["overrides"][key], value, "{at} {key}");
                 }
             }
@@ -335,17 +360,20 @@
 }
 
 #[test]
-fn instances_restarted_one_after_another_cut_no_request() {
-    run(async {
-        let mut fleet = Fleet::start(FleetConfig { instances: 3, ..small() }).await.unwrap();
-        // A long stream is open at each instance while it drains.
+fn a_rolling_restart_cuts_off_no_requests() {
+    block_on(async {
+        let mut fleet = Fleet::start(FleetConfig { instances: 3, ..small_config() }).await.unwrap();
+        // Each instance has a long stream open while it drains.
         let mut streams = Vec::new();
         for round in 0..3 {
-            let to = fleet.instances[0].callers;
+            let to = fleet.instances[0].callers_address;
             let text = format!("long {round}");
             let stream = text.clone();
-            let call = tokio::task::spawn_local(async move { prompt(to, &stream, 150).await });
-            until("it runs", async || fleet.engines.iter().any(|e| e.stats().sequences > 0)).await;
+            let call = tokio::task::spawn_local(async move { send_prompt(to, &stream, 150).await });
+            wait_until("the request runs", async || {
+                fleet.engines.iter().any(|e| e.stats().sequences > 0)
+            })
+            .await;
             streams.push((text, call));
             let old = fleet.instances.remove(0);
             fleet.add_instance(&format!("new-{round}")).await.unwrap();
@@ -353,7 +381,7 @@
         }
         fleet.wait_ready().await.unwrap();
         for (text, call) in streams {
-            assert_eq!(tokens(&call.await.unwrap()), (expected(&text, 150), true));
+            assert_eq!(parse_tokens(&call.await.unwrap()), (expected_tokens(&text, 150), true));
         }
     });
 }
--- a/crates/ringbend-playground/tests/support/mod.rs
+++ b/crates/ringbend-playground/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in one process, and short calls to it.
+//! Helpers for tests on a fleet of instances and stand-ins in one process.
 
 #![allow(dead_code)]
 
@@ -11,21 +11,21 @@
 use ringbend_types::{TokenCount, TokensPerSecond};
 use serde_json::{Value, json};
 
-/// A condition that does not come true within this time has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of requests and awaited conditions.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test's future on a runtime of its own.
-pub(crate) fn run(test: impl Future<Output = ()>) {
+/// Runs a test's future on a new runtime.
+pub(crate) fn block_on(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
 }
 
-/// A small fleet: slow decoding, so that answers take long enough to be broken off.
-pub(crate) fn small() -> FleetConfig {
+/// Configuration of a small fleet. Decoding is slow, so that tests can interrupt answers.
+pub(crate) fn small_config() -> FleetConfig {
     FleetConfig {
         instances: 2,
         engines: 2,
         services: 1,
-        spec: EngineSpec {
+        engine_spec: EngineSpec {
             prefill_rate: TokensPerSecond(400_000),
             decode_step: Duration::from_millis(10),
             kv_capacity: TokenCount(100_000),
@@ -37,23 +37,23 @@
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let begun = Instant::now();
+pub(crate) async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let started_at = Instant::now();
     while !condition().await {
-        assert!(begun.elapsed() < PATIENCE, "{what}: not within {PATIENCE:?}");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out after {WAIT_TIMEOUT:?}: {what}");
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A response read to its end.
+/// A response with its whole body.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) retry_after: Option<u64>,
     pub(crate) text: String,
 }
 
-impl Answer {
+impl Response {
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
@@ -69,33 +69,33 @@
 
 fn client() -> awc::Client {
     let connector = awc::Connector::new().conn_keep_alive(Duration::ZERO);
-    awc::Client::builder().connector(connector).timeout(PATIENCE).finish()
+    awc::Client::builder().connector(connector).timeout(WAIT_TIMEOUT).finish()
 }
 
-pub(crate) async fn send(req: awc::ClientRequest, body: String) -> Answer {
+pub(crate) async fn send(req: awc::ClientRequest, body: String) -> Response {
     let mut res = req.send_body(body).await.unwrap();
     let retry_after = res.headers().get("retry-after");
     let retry_after = retry_after.map(|value| value.to_str().unwrap().parse().unwrap());
     let status = res.status().as_u16();
     let body = res.body().limit(64 << 20).await.unwrap();
-    Answer { status, retry_after, text: String::from_utf8(body.to_vec()).unwrap() }
+    Response { status, retry_after, text: String::from_utf8(body.to_vec()).unwrap() }
 }
 
-/// A streamed prompt.
-pub(crate) async fn prompt(to: SocketAddr, text: &str, max_tokens: u64) -> Answer {
+/// Sends a prompt and returns the streamed response.
+pub(crate) async fn send_prompt(to: SocketAddr, text: &str, max_tokens: u64) -> Response {
     let body =
         json!({"model": "standin", "stream": true, "max_tokens": max_tokens, "prompt": text});
     let url = format!("http://{to}/v1/completions");
     send(client().post(url).bearer_auth(CALLER_KEY), body.to_string()).await
 }
 
-/// A request to a caller's route, with headers.
+/// Sends a POST request with these headers to the callers' API.
 pub(crate) async fn call(
     to: SocketAddr,
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Answer {
+) -> Response {
     let mut req = client().post(format!("http://{to}{path}")).bearer_auth(CALLER_KEY);
     for (name, value) in headers {
         req = req.insert_header((*name, *value));
@@ -103,8 +103,8 @@
     send(req, body.to_owned()).await
 }
 
-/// A plain call under a key.
-pub(crate) async fn keyed(to: SocketAddr, key: &str) -> Answer {
+/// Sends a service call with an idempotency key.
+pub(crate) async fn call_with_key(to: SocketAddr, key: &str) -> Response {
     let headers = [("x-ringbend-request-key", key), ("x-call-key", key)];
     call(to, "/services/dispatch/count", &headers, "one box").await
 }
@@ -114,36 +114,45 @@
     send(req, String::new()).await.json()
 }
 
-pub(crate) async fn change(to: SocketAddr, id: &str, at: &str, key: &str, value: Value) -> Answer {
-    let edits = json!([{"path": at, "key": key, "value": value}]);
+pub(crate) async fn change_setting(
+    to: SocketAddr,
+    id: &str,
+    path: &str,
+    key: &str,
+    value: Value,
+) -> Response {
+    let edits = json!([{"path": path, "key": key, "value": value}]);
     let body = json!({"id": id, "author": "test", "edits": edits});
     let url = format!("http://{to}/v1/settings/changes");
     send(client().post(url).bearer_auth(ADMIN_KEY), body.to_string()).await
 }
 
 pub(crate) async fn put(url: String, body: Value) {
-    let answer = send(client().put(url), body.to_string()).await;
-    assert_eq!(answer.status, 204);
+    let response = send(client().put(url), body.to_string()).await;
+    assert_eq!(response.status, 204);
 }
 
-pub(crate) async fn version(admin: SocketAddr) -> u64 {
+pub(crate) async fn settings_version(admin: SocketAddr) -> u64 {
     admin_get(admin, "/v1/status").await["settings_version"].as_u64().unwrap()
 }
 
-/// Changes a setting and waits until every instance has it in force.
+/// Changes a setting and waits until it is in force at all instances.
 pub(crate) async fn set_everywhere(fleet: &Fleet, key: &str, value: Value) {
-    let accepted = change(fleet.instances[0].admin, key, "/", key, value).await;
+    let accepted = change_setting(fleet.instances[0].admin_address, key, "/", key, value).await;
     assert_eq!(accepted.status, 200, "{}", accepted.text);
-    let wanted = accepted.json()["version"].as_u64().unwrap();
+    let new_version = accepted.json()["version"].as_u64().unwrap();
     for instance in &fleet.instances {
-        until("settings in force", async || version(instance.admin).await >= wanted).await;
+        wait_until("settings in force", async || {
+            settings_version(instance.admin_address).await >= new_version
+        })
+        .await;
     }
 }
 
-/// The tokens of a streamed answer, and whether it ended whole.
-pub(crate) fn tokens(answer: &Answer) -> (Vec<String>, bool) {
+/// Returns the tokens of a streamed response and whether the response is complete.
+pub(crate) fn parse_tokens(response: &Response) -> (Vec<String>, bool) {
     let mut tokens = Vec::new();
-    for event in answer.text.split("\n\n") {
+    for event in response.text.split("\n\n") {
         let Some(data) = event.strip_prefix("data: ") else { continue };
         if data == "[DONE]" {
             return (tokens, true);
@@ -154,20 +163,26 @@
     (tokens, false)
 }
 
-/// The tokens that a prompt's answer must have.
-pub(crate) fn expected(text: &str, n: u64) -> Vec<String> {
+/// Returns the tokens that the response to a prompt must have.
+pub(crate) fn expected_tokens(text: &str, n: u64) -> Vec<String> {
     let raw = serde_json::to_string(text).unwrap();
     let hash = xxhash_rust::xxh3::xxh3_64(raw.as_bytes());
-    (0..n).map(|at| ringbend_standins::token_text(hash, at)).collect()
+    (0..n).map(|index| ringbend_standins::token_text(hash, index)).collect()
 }
 
-pub(crate) fn fault(fleet: &Fleet, engine: usize, change: impl FnOnce(&mut EngineFaults)) {
+/// Replaces the faults of one engine.
+pub(crate) fn inject_fault(
+    fleet: &Fleet,
+    engine: usize,
+    configure: impl FnOnce(&mut EngineFaults),
+) {
     let mut faults = EngineFaults::default();
-    change(&mut faults);
+    configure(&mut faults);
     fleet.engines[engine].set_faults(faults);
 }
 
-pub(crate) async fn runs(fleet: &Fleet, key: &str) -> u64 {
+/// Returns how often the service ran the calls of a key.
+pub(crate) async fn run_count(fleet: &Fleet, key: &str) -> u64 {
     let url = format!("http://{}/_stats", fleet.services[0].address());
     let stats = send(client().get(url), String::new()).await.json();
     stats["by_key"][key].as_u64().unwrap_or(0)
--- a/crates/ringbend-playground/tests/traces.rs
+++ b/crates/ringbend-playground/tests/traces.rs
@@ -1,4 +1,4 @@
-//! A span for each hop, exported by OTLP to a collector that the test plays.
+//! Each hop of a request has a span, which is exported by OTLP to a collector in the test.
 
 mod support;
 
@@ -14,9 +14,9 @@
 use prost::Message;
 use ringbend_playground::{Fleet, FleetConfig};
 use ringbend_runtime::{Handler, HttpRequest, HttpResponse, ServerConfig, empty, read_body, serve};
-use support::{call, keyed, run, set_everywhere, small, until};
+use support::{block_on, call, call_with_key, set_everywhere, small_config, wait_until};
 
-/// Name, trace id, span id, parent's span id.
+/// A span's name, trace id, span id and parent span id.
 type SpanIds = (String, Vec<u8>, Vec<u8>, Vec<u8>);
 
 #[derive(Default)]
@@ -42,22 +42,22 @@
 }
 
 #[test]
-fn each_hop_has_a_span_below_the_callers() {
-    run(async {
+fn each_hop_has_a_span_in_the_callers_trace() {
+    block_on(async {
         let collector = Rc::new(Collector::default());
-        let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = serve(any, ServerConfig::default(), collector.clone()).await.unwrap();
+        let any_port = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+        let server = serve(any_port, ServerConfig::default(), collector.clone()).await.unwrap();
         let otlp_url = Some(format!("http://{}/v1/traces", server.address()).into());
-        let fleet = Fleet::start(FleetConfig { otlp_url, ..small() }).await.unwrap();
-        let to = fleet.instances[0].callers;
+        let fleet = Fleet::start(FleetConfig { otlp_url, ..small_config() }).await.unwrap();
+        let to = fleet.instances[0].callers_address;
         let trace = "0af7651916cd43dd8448eb211c80319c";
         let traceparent = format!("00-{trace}-b7ad6b7169203331-01");
         let headers = [("traceparent", traceparent.as_str())];
         let body = "{\"model\": \"standin\", \"prompt\": \"x\", \"max_tokens\": 2}";
         assert_eq!(call(to, "/v1/completions", &headers, body).await.status, 200);
-        assert_eq!(keyed(to, "traced").await.status, 200);
+        assert_eq!(call_with_key(to, "traced").await.status, 200);
         set_everywhere(&fleet, "limits.weight", 7.into()).await;
-        until("the spans arrive", async || {
+        wait_until("the spans are exported", async || {
             let spans = collector.spans.borrow();
             let names: BTreeSet<&str> = spans.iter().map(|s| s.0.as_str()).collect();
             names.is_superset(&BTreeSet::from(["caller", "queue", "claim", "attempt", "peer"]))
