--- a/crates/ringbend-standins/src/engine_api.rs
+++ b/crates/ringbend-standins/src/engine_api.rs
@@ -165,7 +165,7 @@
             return empty(StatusCode::BAD_REQUEST);
         };
         let (attempt, request) = (generation.submit.attempt, generation.request);
-        let first = generation.submit.resume_from;
+        let resume_from = generation.submit.resume_from;
         let tokens = match self.driver.submit(generation) {
             Ok(tokens) => tokens,
             Err(e) => return rejection(e),
@@ -179,7 +179,7 @@
             tokio::task::spawn_local(write_events(driver, attempt, tokens, tx, format));
             res
         } else {
-            collect_response(request, tokens, &format, first).await
+            collect_response(request, tokens, &format, resume_from).await
         };
         self.add_headers(&mut res, attempt, prompt.stream);
         res
@@ -244,7 +244,8 @@
     }
 }
 
-/// Writes a response's events. Cancels the attempt if the client closes the connection.
+/// Writes a response's events. Cancels the attempt if the client closes the connection or a fault
+/// cuts the stream.
 async fn write_events(
     driver: Rc<EngineDriver>,
     attempt: AttemptId,
@@ -280,7 +281,7 @@
 fn format_event(token: &Token, format: &ResponseFormat) -> Bytes {
     let text = token_text(token.prompt_hash, token.index);
     let finish = if token.last { "\"length\"" } else { "null" };
-    let (object, piece) = if format.chat {
+    let (object, choice_text) = if format.chat {
         ("chat.completion.chunk", format!("\"delta\":{{\"content\":\"{text}\"}}"))
     } else {
         ("text_completion", format!("\"text\":\"{text}\""))
@@ -294,7 +295,7 @@
     let (id, model) = (token.request, &format.model);
     Bytes::from(format!(
         "data: {{\"id\":\"{id}\",\"object\":\"{object}\",\"model\":\"{model}\",\"choices\":\
-         [{{\"index\":0,{piece},\"finish_reason\":{finish}}}]{usage}}}\n\n"
+         [{{\"index\":0,{choice_text},\"finish_reason\":{finish}}}]{usage}}}\n\n"
     ))
 }
 
@@ -303,10 +304,10 @@
     request: RequestId,
     mut tokens: UnboundedReceiver<Token>,
     format: &ResponseFormat,
-    first: u64,
+    resume_from: u64,
 ) -> HttpResponse {
     let mut text = String::new();
-    let mut count = first;
+    let mut count = resume_from;
     let mut ended = false;
     while let Some(token) = tokens.recv().await {
         text.push_str(&token_text(token.prompt_hash, token.index));
