--- a/crates/ringbend-models/src/engine.rs
+++ b/crates/ringbend-models/src/engine.rs
@@ -1,8 +1,9 @@
-//! A model engine: continuous batching in steps, with KV memory and a prefix cache.
+//! Model of an inference engine with continuous batching, a limited KV memory and a prefix cache.
 //!
 //! Each step takes a fixed decode time plus the time to prefill one chunk of prompt tokens.
-//! A sequence whose prompt is done yields one token per step. Sequences wait in order of
-//! priority, then arrival, and the first that does not fit holds back those behind it.
+//! A sequence whose prompt is fully prefilled generates one token per step. The waiting queue is
+//! ordered by priority, then arrival, and has head-of-line blocking: if the first sequence does
+//! not fit in memory, those behind it wait as well.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,24 +16,24 @@
 
 use crate::prefix_cache::PrefixCache;
 
-/// What an engine can do.
+/// Capacity and speed of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineSpec {
     /// Prompt tokens prefilled per second.
     pub prefill_rate: TokensPerSecond,
-    /// Time of a step without prefill.
+    /// Duration of a step without prefill.
     pub decode_step: Duration,
-    /// Most prompt tokens prefilled in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub step_tokens: u64,
-    /// KV memory.
+    /// KV memory capacity.
     pub kv_capacity: TokenCount,
-    /// Prefix cache memory, in blocks.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Most sequences in the batch.
+    /// Maximum number of sequences in the batch.
     pub max_batch: usize,
-    /// Most sequences waiting; more are refused.
+    /// Maximum number of waiting sequences; further ones are refused.
     pub max_waiting: usize,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing token are refused.
     pub checks_fencing: bool,
 }
 
@@ -51,41 +52,41 @@
     }
 }
 
-/// A sequence handed to the engine.
+/// A sequence submitted to an engine.
 #[derive(Debug, Clone)]
 pub struct Submit {
     /// The attempt it belongs to.
     pub attempt: AttemptId,
     /// Length of the prompt.
     pub prompt_tokens: TokenCount,
-    /// Tokens to generate in all.
+    /// Total number of tokens to generate, including those before `resume_from`.
     pub max_tokens: u64,
-    /// Tokens that an earlier attempt delivered already; they are prefilled, not generated.
+    /// Tokens that an earlier attempt already delivered; they are prefilled, not generated.
     pub resume_from: u64,
-    /// 0 goes first.
+    /// Scheduling priority; 0 is the highest.
     pub priority: u8,
-    /// Hashes of the prompt's blocks.
+    /// Chained hashes of the prompt's blocks, for the prefix cache.
     pub blocks: Vec<u64>,
-    /// KV memory reserved for the attempt on other engines.
+    /// KV memory that is reserved for the attempt on other engines.
     pub borrowed: TokenCount,
 }
 
 impl Submit {
-    fn kv_need(&self) -> TokenCount {
+    fn kv_required(&self) -> TokenCount {
         self.prompt_tokens.saturating_add(TokenCount(self.max_tokens)).saturating_sub(self.borrowed)
     }
 }
 
-/// Why an engine refused a sequence, a reservation or an import. Nothing was run.
+/// Why an engine refused a sequence or a reservation. Nothing was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitError {
-    /// More memory is needed than the engine has in all.
+    /// The sequence needs more memory than the engine's total capacity.
     TooLarge,
     /// The engine's queue or memory is full.
     Full,
-    /// The engine is leaving.
+    /// The engine is leaving and takes no new work.
     Leaving,
-    /// The attempt is already there.
+    /// The engine already has this attempt.
     Duplicate,
 }
 
@@ -105,39 +106,39 @@
 /// One generated token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineOutput {
-    /// Whose token.
+    /// The attempt that the token belongs to.
     pub attempt: AttemptId,
-    /// Its place in the answer, from zero.
+    /// Zero-based index of the token in the answer.
     pub index: u64,
-    /// Whether the answer ends with it.
+    /// Whether this is the last token of the answer.
     pub last: bool,
-    /// When the step that made it ended.
+    /// End of the step that generated the token.
     pub at: Timestamp,
 }
 
-/// What came of an order.
+/// Outcome of an order.
 pub type OrderOutcome = Result<(), OrderRefusal>;
 
 #[derive(Debug, Clone)]
 struct Sequence {
     submit: Submit,
-    prefill_left: u64,
+    prefill_remaining: u64,
     generated: u64,
 }
 
-/// Order of service: priority, then arrival.
-type Place = (u8, u64);
+/// Queue position: priority, then arrival number.
+type QueuePosition = (u8, u64);
 
-/// One engine.
+/// State of one engine.
 #[derive(Debug, Clone)]
 pub struct EngineModel {
     spec: EngineSpec,
-    waiting: BTreeMap<Place, Sequence>,
-    batch: BTreeMap<Place, Sequence>,
-    places: BTreeMap<AttemptId, Place>,
+    waiting: BTreeMap<QueuePosition, Sequence>,
+    batch: BTreeMap<QueuePosition, Sequence>,
+    positions: BTreeMap<AttemptId, QueuePosition>,
     reservations: BTreeMap<AttemptId, TokenCount>,
     cache: PrefixCache,
-    arrivals: u64,
+    last_arrival: u64,
     step: Option<Step>,
     kv_used: TokenCount,
     peak_kv: TokenCount,
@@ -148,22 +149,22 @@
 
 #[derive(Debug, Clone)]
 struct Step {
-    ends: Timestamp,
-    prefill: Vec<(Place, u64)>,
+    ends_at: Timestamp,
+    prefill: Vec<(QueuePosition, u64)>,
 }
 
 impl EngineModel {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(spec: EngineSpec) -> Self {
         let cache = PrefixCache::new(spec.cache_blocks);
         Self {
             spec,
             waiting: BTreeMap::new(),
             batch: BTreeMap::new(),
-            places: BTreeMap::new(),
+            positions: BTreeMap::new(),
             reservations: BTreeMap::new(),
             cache,
-            arrivals: 0,
+            last_arrival: 0,
             step: None,
             kv_used: TokenCount(0),
             peak_kv: TokenCount(0),
@@ -173,22 +174,22 @@
         }
     }
 
-    /// What the engine can do.
+    /// Capacity and speed of the engine.
     pub fn spec(&self) -> &EngineSpec {
         &self.spec
     }
 
-    /// Takes a sequence, or refuses it without running it.
+    /// Queues a sequence, or refuses it without running it.
     pub fn submit(&mut self, now: Timestamp, submit: Submit) -> Result<(), SubmitError> {
         self.check_submit(&submit)?;
-        self.arrivals += 1;
-        let place = (submit.priority, self.arrivals);
-        self.places.insert(submit.attempt, place);
-        let cached = self.cache.matched(&submit.blocks);
-        let all = submit.prompt_tokens.0 + submit.resume_from;
-        let prefill_left = all.saturating_sub(cached.0).max(1);
+        self.last_arrival += 1;
+        let position = (submit.priority, self.last_arrival);
+        self.positions.insert(submit.attempt, position);
+        let cached = self.cache.matched_tokens(&submit.blocks);
+        let prefix_tokens = submit.prompt_tokens.0 + submit.resume_from;
+        let prefill_remaining = prefix_tokens.saturating_sub(cached.0).max(1);
         let generated = submit.resume_from;
-        self.waiting.insert(place, Sequence { submit, prefill_left, generated });
+        self.waiting.insert(position, Sequence { submit, prefill_remaining, generated });
         self.start_step(now);
         Ok(())
     }
@@ -197,10 +198,10 @@
         if self.state == EndpointState::Leaving {
             return Err(SubmitError::Leaving);
         }
-        if self.places.contains_key(&submit.attempt) {
+        if self.positions.contains_key(&submit.attempt) {
             return Err(SubmitError::Duplicate);
         }
-        if submit.kv_need() > self.spec.kv_capacity {
+        if submit.kv_required() > self.spec.kv_capacity {
             return Err(SubmitError::TooLarge);
         }
         if self.waiting.len() >= self.spec.max_waiting {
@@ -209,18 +210,18 @@
         Ok(())
     }
 
-    /// Ends a sequence and frees its memory. Unknown attempts are ignored; returns whether one ended.
+    /// Cancels a sequence and frees its memory. Returns `false` if the attempt is unknown.
     pub fn cancel(&mut self, now: Timestamp, attempt: AttemptId) -> bool {
-        let Some(place) = self.places.remove(&attempt) else { return false };
-        self.waiting.remove(&place);
-        if let Some(sequence) = self.batch.remove(&place) {
-            self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_need());
+        let Some(position) = self.positions.remove(&attempt) else { return false };
+        self.waiting.remove(&position);
+        if let Some(sequence) = self.batch.remove(&position) {
+            self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_required());
         }
         self.start_step(now);
         true
     }
 
-    /// Holds memory for an attempt that runs elsewhere.
+    /// Reserves KV memory for an attempt that runs on another engine.
     pub fn reserve(&mut self, reservation: Reservation) -> Result<(), SubmitError> {
         if self.state == EndpointState::Leaving {
             return Err(SubmitError::Leaving);
@@ -228,16 +229,16 @@
         if self.reservations.contains_key(&reservation.attempt) {
             return Err(SubmitError::Duplicate);
         }
-        let used = self.kv_used.saturating_add(reservation.tokens);
-        if used > self.spec.kv_capacity {
+        let new_kv_used = self.kv_used.saturating_add(reservation.tokens);
+        if new_kv_used > self.spec.kv_capacity {
             return Err(SubmitError::Full);
         }
-        self.set_kv_used(used);
+        self.set_kv_used(new_kv_used);
         self.reservations.insert(reservation.attempt, reservation.tokens);
         Ok(())
     }
 
-    /// Frees the memory held for an attempt; returns whether there was any.
+    /// Frees an attempt's reservation. Returns `false` if there was none.
     pub fn release(&mut self, now: Timestamp, attempt: AttemptId) -> bool {
         let Some(tokens) = self.reservations.remove(&attempt) else { return false };
         self.kv_used = self.kv_used.saturating_sub(tokens);
@@ -245,16 +246,16 @@
         true
     }
 
-    /// Memory held for attempts that run elsewhere.
+    /// Current reservations for attempts that run on other engines.
     pub fn reservations(&self) -> Vec<Reservation> {
-        let held = |(attempt, tokens): (&AttemptId, &TokenCount)| Reservation {
+        let to_reservation = |(attempt, tokens): (&AttemptId, &TokenCount)| Reservation {
             attempt: *attempt,
             tokens: *tokens,
         };
-        self.reservations.iter().map(held).collect()
+        self.reservations.iter().map(to_reservation).collect()
     }
 
-    /// Carries out an order, unless its fencing number is old and the engine checks.
+    /// Executes an order. If the engine checks fencing, an order with an outdated token is refused.
     pub fn order(&mut self, now: Timestamp, order: Order) -> OrderOutcome {
         if self.spec.checks_fencing && order.fencing < self.highest_fencing {
             return Err(OrderRefusal { highest: self.highest_fencing });
@@ -269,12 +270,12 @@
         Ok(())
     }
 
-    /// Orders carried out, in order.
+    /// Executed orders, oldest first.
     pub fn orders_done(&self) -> &[Order] {
         &self.orders_done
     }
 
-    /// Models loaded by orders, newest last.
+    /// Models that orders loaded, oldest first.
     pub fn models(&self) -> Vec<ModelName> {
         let model = |order: &Order| match &order.kind {
             OrderKind::LoadModel { model, .. } => Some(model.clone()),
@@ -283,29 +284,29 @@
         self.orders_done.iter().filter_map(model).collect()
     }
 
-    /// Says whether the engine takes new work.
+    /// Sets the endpoint state; an engine that is leaving refuses new work.
     pub fn set_state(&mut self, state: EndpointState) {
         self.state = state;
     }
 
-    /// When the running step ends; `None` when idle.
+    /// End of the step in progress; `None` when idle.
     pub fn next_step(&self) -> Option<Timestamp> {
-        self.step.as_ref().map(|step| step.ends)
+        self.step.as_ref().map(|step| step.ends_at)
     }
 
-    /// Ends every step due by `now` and returns the tokens made.
+    /// Completes every step that ends by `now` and returns the generated tokens.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineOutput> {
         let mut outputs = Vec::new();
-        while let Some(step) = self.step.take_if(|step| step.ends <= now) {
+        while let Some(step) = self.step.take_if(|step| step.ends_at <= now) {
             self.finish_step(&step, &mut outputs);
-            self.start_step(step.ends);
+            self.start_step(step.ends_at);
         }
         outputs
     }
 
-    /// The load right now; the caller adds the lag.
+    /// The current load, without reporting lag; callers add the lag themselves.
     pub fn report(&self) -> LoadReport {
-        let backlog = self.batch.values().chain(self.waiting.values()).map(|s| s.prefill_left);
+        let backlog = self.batch.values().chain(self.waiting.values()).map(|s| s.prefill_remaining);
         LoadReport {
             running: self.batch.len() as u32,
             waiting: self.waiting.len() as u32,
@@ -316,32 +317,32 @@
         }
     }
 
-    /// Prompt tokens that the cache would spare.
+    /// Number of prompt tokens that the prefix cache covers.
     pub fn cached(&self, blocks: &[u64]) -> TokenCount {
-        self.cache.matched(blocks)
+        self.cache.matched_tokens(blocks)
     }
 
-    /// Puts another prefix cache in place, as when an engine loses its own.
+    /// Replaces the prefix cache, for example to model an engine that loses its cache.
     pub fn replace_cache(&mut self, cache: PrefixCache) {
         self.cache = cache;
     }
 
-    /// Cache events after `sequence`.
+    /// Cache events with a sequence number above `sequence`.
     pub fn cache_events(&self, sequence: u64) -> Vec<CacheEvent> {
         self.cache.events_after(sequence)
     }
 
-    /// Sequences held, waiting or running.
+    /// Number of sequences, waiting and running.
     pub fn sequences(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    fn set_kv_used(&mut self, used: TokenCount) {
-        self.kv_used = used;
-        self.peak_kv = self.peak_kv.max(used);
+    fn set_kv_used(&mut self, new_kv_used: TokenCount) {
+        self.kv_used = new_kv_used;
+        self.peak_kv = self.peak_kv.max(new_kv_used);
     }
 
-    /// The most KV memory held at once since the start.
+    /// Peak KV memory use since the start.
     pub fn peak_kv(&self) -> TokenCount {
         self.peak_kv
     }
@@ -357,29 +358,29 @@
         let prefill = self.plan_prefill();
         let tokens = prefill.iter().map(|(_, chunk)| chunk).sum();
         let duration = self.spec.decode_step + self.spec.prefill_rate.time_for(TokenCount(tokens));
-        self.step = Some(Step { ends: now + duration, prefill });
+        self.step = Some(Step { ends_at: now + duration, prefill });
     }
 
     fn fill_batch(&mut self) {
         while self.batch.len() < self.spec.max_batch {
             let Some(first) = self.waiting.first_entry() else { return };
-            let used = self.kv_used.saturating_add(first.get().submit.kv_need());
-            if used > self.spec.kv_capacity {
+            let new_kv_used = self.kv_used.saturating_add(first.get().submit.kv_required());
+            if new_kv_used > self.spec.kv_capacity {
                 return;
             }
-            let (place, sequence) = first.remove_entry();
-            self.batch.insert(place, sequence);
-            self.set_kv_used(used);
+            let (position, sequence) = first.remove_entry();
+            self.batch.insert(position, sequence);
+            self.set_kv_used(new_kv_used);
         }
     }
 
-    fn plan_prefill(&self) -> Vec<(Place, u64)> {
+    fn plan_prefill(&self) -> Vec<(QueuePosition, u64)> {
         let mut budget = self.spec.step_tokens;
         let mut plan = Vec::new();
-        for (place, sequence) in &self.batch {
-            let chunk = sequence.prefill_left.min(budget);
+        for (position, sequence) in &self.batch {
+            let chunk = sequence.prefill_remaining.min(budget);
             if chunk > 0 {
-                plan.push((*place, chunk));
+                plan.push((*position, chunk));
                 budget -= chunk;
             }
         }
@@ -387,31 +388,31 @@
     }
 
     fn finish_step(&mut self, step: &Step, outputs: &mut Vec<EngineOutput>) {
-        for (place, chunk) in &step.prefill {
-            let Some(sequence) = self.batch.get_mut(place) else { continue };
-            sequence.prefill_left -= chunk;
-            if sequence.prefill_left == 0 {
+        for (position, chunk) in &step.prefill {
+            let Some(sequence) = self.batch.get_mut(position) else { continue };
+            sequence.prefill_remaining -= chunk;
+            if sequence.prefill_remaining == 0 {
                 self.cache.store(&sequence.submit.blocks);
             }
         }
         let mut ended = Vec::new();
-        for (place, sequence) in &mut self.batch {
-            if sequence.prefill_left > 0 {
+        for (position, sequence) in &mut self.batch {
+            if sequence.prefill_remaining > 0 {
                 continue;
             }
             let index = sequence.generated;
             sequence.generated += 1;
             let last = sequence.generated >= sequence.submit.max_tokens;
             let attempt = sequence.submit.attempt;
-            outputs.push(EngineOutput { attempt, index, last, at: step.ends });
+            outputs.push(EngineOutput { attempt, index, last, at: step.ends_at });
             if last {
-                ended.push((*place, attempt));
+                ended.push((*position, attempt));
             }
         }
-        for (place, attempt) in ended {
-            self.places.remove(&attempt);
-            if let Some(sequence) = self.batch.remove(&place) {
-                self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_need());
+        for (position, attempt) in ended {
+            self.positions.remove(&attempt);
+            if let Some(sequence) = self.batch.remove(&position) {
+                self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_required());
             }
         }
     }
--- a/crates/ringbend-models/src/instance_list.rs
+++ b/crates/ringbend-models/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving endpoints, which lags behind the truth.
+//! Model of the platform's list of live and leaving endpoints, which lags behind their real state.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,48 +12,48 @@
     Remove(EndpointId),
 }
 
-/// A list whose readers see each change only after the lag.
+/// An endpoint list whose readers see each change only after a fixed delay.
 #[derive(Debug, Clone)]
 pub struct InstanceListModel {
     lag: Duration,
-    seen: BTreeMap<EndpointId, EndpointEntry>,
+    visible: BTreeMap<EndpointId, EndpointEntry>,
     pending: VecDeque<(Timestamp, Change)>,
 }
 
 impl InstanceListModel {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new(lag: Duration) -> Self {
-        Self { lag, seen: BTreeMap::new(), pending: VecDeque::new() }
+        Self { lag, visible: BTreeMap::new(), pending: VecDeque::new() }
     }
 
-    /// A list whose readers see `entries` at once.
+    /// Creates a list whose readers see `entries` immediately.
     pub fn with_entries(lag: Duration, entries: Vec<EndpointEntry>) -> Self {
-        let seen = entries.into_iter().map(|entry| (entry.id.clone(), entry)).collect();
-        Self { lag, seen, pending: VecDeque::new() }
+        let visible = entries.into_iter().map(|entry| (entry.id.clone(), entry)).collect();
+        Self { lag, visible, pending: VecDeque::new() }
     }
 
-    /// Adds or replaces an entry.
+    /// Adds or replaces an entry; readers see the change after the delay.
     pub fn put(&mut self, now: Timestamp, entry: EndpointEntry) {
         self.pending.push_back((now + self.lag, Change::Put(entry)));
     }
 
-    /// Removes an entry.
+    /// Removes an entry; readers see the change after the delay.
     pub fn remove(&mut self, now: Timestamp, id: EndpointId) {
         self.pending.push_back((now + self.lag, Change::Remove(id)));
     }
 
-    /// What a reader sees at `now`.
+    /// Returns the entries that are visible to readers at `now`.
     pub fn view(&mut self, now: Timestamp) -> Vec<EndpointEntry> {
         while let Some((_, change)) = self.pending.pop_front_if(|(due, _)| *due <= now) {
             match change {
                 Change::Put(entry) => {
-                    self.seen.insert(entry.id.clone(), entry);
+                    self.visible.insert(entry.id.clone(), entry);
                 }
                 Change::Remove(id) => {
-                    self.seen.remove(&id);
+                    self.visible.remove(&id);
                 }
             }
         }
-        self.seen.values().cloned().collect()
+        self.visible.values().cloned().collect()
     }
 }
--- a/crates/ringbend-models/src/lib.rs
+++ b/crates/ringbend-models/src/lib.rs
@@ -1,6 +1,6 @@
-//! Pure models of the platform, used by the stand-in programs, the bench and the tests.
+//! Deterministic models of the platform, used by the stand-in programs, the benchmark and the tests.
 //!
-//! Time is passed in; nothing here does I/O.
+//! Callers pass in the current time. The models read no clock and do no I/O.
 
 mod engine;
 mod instance_list;
--- a/crates/ringbend-models/src/table.rs
+++ b/crates/ringbend-models/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table service, with its rates and faults.
+//! Model of the transactional table service, with rate limits and injected faults.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use ringbend_types::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// Calls the service carries a second; more are refused.
+/// Rate limits of the service, in calls per second; calls above them are refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRates {
-    /// Commits a second.
+    /// Commits per second.
     pub writes_per_s: u32,
-    /// Reads and scans a second.
+    /// Reads and scans per second.
     pub reads_per_s: u32,
 }
 
@@ -23,47 +23,47 @@
     }
 }
 
-/// Faults that a test switches on.
+/// Faults that tests inject.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TableFaults {
-    /// Refuse every call.
+    /// Refuses every call.
     pub outage: bool,
-    /// Let this many of the next commits take effect and lose their answers.
+    /// Number of upcoming commits that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// Lose this many of the next commits before they take effect.
+    /// Number of upcoming commits that are lost before they take effect.
     pub lose_commits: u32,
-    /// Delay each answer; the caller of the model applies it.
+    /// Delay of each answer; the caller of the model applies it.
     pub delay_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Window {
+struct RateWindow {
     second: u64,
     writes: u32,
     reads: u32,
 }
 
-/// One table.
+/// State of one table.
 #[derive(Debug, Clone, Default)]
 pub struct TableModel {
     rows: BTreeMap<RowKey, Row>,
     last_version: u64,
     rates: TableRates,
-    window: Window,
-    /// Faults in force.
+    window: RateWindow,
+    /// Active faults.
     pub faults: TableFaults,
     commits: u64,
     reads: u64,
 }
 
 impl TableModel {
-    /// An empty table with these rates.
+    /// Creates an empty table with the given rate limits.
     pub fn new(rates: TableRates) -> Self {
         Self { rates, ..Self::default() }
     }
 
-    /// Answers one call.
+    /// Executes one call.
     pub fn call(
         &mut self,
         now: Timestamp,
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Commits that took effect.
+    /// Number of commits that took effect.
     pub fn commits(&self) -> u64 {
         self.commits
     }
 
-    /// Reads and scans answered.
+    /// Number of reads and scans answered.
     pub fn reads(&self) -> u64 {
         self.reads
     }
@@ -99,15 +99,15 @@
     fn within_rate(&mut self, now: Timestamp, write: bool) -> bool {
         let second = now.0 / 1_000_000;
         if self.window.second != second {
-            self.window = Window { second, writes: 0, reads: 0 };
+            self.window = RateWindow { second, writes: 0, reads: 0 };
         }
-        let (used, most) = if write {
+        let (used, max) = if write {
             (&mut self.window.writes, self.rates.writes_per_s)
         } else {
             (&mut self.window.reads, self.rates.reads_per_s)
         };
         *used += 1;
-        *used <= most
+        *used <= max
     }
 
     fn scan(&self, prefix: &str, after: Option<&RowKey>, limit: usize) -> Vec<Row> {
@@ -130,7 +130,8 @@
             self.faults.lose_commits -= 1;
             return Err(TableError::OutcomeUnknown);
         }
-        let failed: Vec<&Condition> = conditions.iter().filter(|c| !self.holds(c)).collect();
+        let failed: Vec<&Condition> =
+            conditions.iter().filter(|c| !self.condition_holds(c)).collect();
         if !failed.is_empty() {
             let current = failed.iter().filter_map(|c| self.rows.get(c.key()).cloned());
             return Ok(TableReply::ConditionsFailed(current.collect()));
@@ -146,7 +147,7 @@
         Ok(TableReply::Committed)
     }
 
-    fn holds(&self, condition: &Condition) -> bool {
+    fn condition_holds(&self, condition: &Condition) -> bool {
         match condition {
             Condition::Absent(key) => !self.rows.contains_key(key),
             Condition::VersionIs(key, version) => {
--- a/crates/ringbend-models/tests/engine.rs
+++ b/crates/ringbend-models/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine model: batching, memory, priorities, orders.
+//! Tests of the engine model: batching, memory, priorities and orders.
 
 use std::time::Duration;
 
@@ -32,17 +32,17 @@
     }
 }
 
-/// Runs the engine until it is idle and returns, by attempt, the time of its first token.
+/// Runs the engine until it is idle and returns the time of each attempt's first token.
 fn first_tokens(engine: &mut EngineModel) -> Vec<(u64, Timestamp)> {
-    let mut firsts = Vec::new();
+    let mut first_tokens_at = Vec::new();
     while let Some(due) = engine.next_step() {
         for output in engine.advance(due) {
             if output.index == 0 {
-                firsts.push((output.attempt.sequence, output.at));
+                first_tokens_at.push((output.attempt.sequence, output.at));
             }
         }
     }
-    firsts
+    first_tokens_at
 }
 
 #[test]
@@ -62,14 +62,14 @@
     let mut engine = engine();
     engine.submit(Timestamp(0), submit(1, 8_000, 5)).unwrap();
     engine.submit(Timestamp(1), submit(2, 500, 0)).unwrap();
-    let firsts = first_tokens(&mut engine);
-    assert_eq!(firsts[0].0, 2);
-    // The step under way and the next one, each of a thousand tokens.
-    assert!(firsts[0].1 <= Timestamp::from_millis(230), "{:?}", firsts[0].1);
+    let first_tokens_at = first_tokens(&mut engine);
+    assert_eq!(first_tokens_at[0].0, 2);
+    // The step in progress and the next one, each of 1,000 tokens.
+    assert!(first_tokens_at[0].1 <= Timestamp::from_millis(230), "{:?}", first_tokens_at[0].1);
 }
 
 #[test]
-fn memory_is_a_hard_limit() {
+fn kv_memory_use_never_exceeds_the_capacity() {
     let mut engine = engine();
     let refused = engine.submit(Timestamp(0), submit(1, 10_000, 0));
     assert_eq!(refused, Err(SubmitError::TooLarge));
@@ -82,8 +82,8 @@
 #[test]
 fn a_waiting_sequence_starts_when_a_reservation_is_released() {
     let mut engine = engine();
-    let held = Reservation { attempt: attempt(9), tokens: TokenCount(9_000) };
-    engine.reserve(held).unwrap();
+    let reservation = Reservation { attempt: attempt(9), tokens: TokenCount(9_000) };
+    engine.reserve(reservation).unwrap();
     engine.submit(Timestamp(0), submit(1, 5_000, 0)).unwrap();
     assert_eq!(engine.next_step(), None);
     engine.release(Timestamp::from_millis(5), attempt(9));
@@ -114,17 +114,17 @@
 }
 
 #[test]
-fn an_order_with_an_old_number_is_refused_only_where_it_is_checked() {
+fn an_outdated_fencing_token_is_refused_only_by_engines_that_check_it() {
     let order = |n| Order {
         fencing: FencingToken(n),
         kind: OrderKind::SetRole { role: "prefill".parse().unwrap() },
     };
-    let mut checks = engine();
-    checks.order(Timestamp(0), order(2)).unwrap();
+    let mut checking = engine();
+    checking.order(Timestamp(0), order(2)).unwrap();
     let refusal = OrderRefusal { highest: FencingToken(2) };
-    assert_eq!(checks.order(Timestamp(0), order(1)), Err(refusal));
-    let mut ignores =
+    assert_eq!(checking.order(Timestamp(0), order(1)), Err(refusal));
+    let mut ignoring =
         EngineModel::new(EngineSpec { checks_fencing: false, ..EngineSpec::default() });
-    ignores.order(Timestamp(0), order(2)).unwrap();
-    assert_eq!(ignores.order(Timestamp(0), order(1)), Ok(()));
+    ignoring.order(Timestamp(0), order(2)).unwrap();
+    assert_eq!(ignoring.order(Timestamp(0), order(1)), Ok(()));
 }
