--- a/crates/ringbend-bench/src/world/engines.rs
+++ b/crates/ringbend-bench/src/world/engines.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::Rng;
-use ringbend_models::{EngineOutput, Submit, SubmitError};
+use ringbend_models::{EngineOutput, SequenceRequest, SubmitError};
 use ringbend_platform::{EndpointEntry, EndpointKind, EndpointState, Reservation};
 use ringbend_policy::{AttemptEnd, Dispatch, Event, HeldMemory};
 use ringbend_types::{AttemptId, TokenCount};
@@ -29,7 +29,7 @@
             return self.end_attempt(instance, attempt, end);
         }
         let submit = self.as_submit(record, dispatch);
-        let need = submit.prompt_tokens.0 + submit.max_tokens - submit.borrowed.0;
+        let need = submit.prompt_tokens.0 + submit.max_tokens - submit.reserved_elsewhere.0;
         let report = self.engines[engine].model.report();
         if report.kv_used.0 + need > report.kv_capacity.0 {
             self.report.overcommits += 1;
@@ -55,18 +55,18 @@
         }
     }
 
-    pub(super) fn as_submit(&self, record: usize, dispatch: &Dispatch) -> Submit {
+    pub(super) fn as_submit(&self, record: usize, dispatch: &Dispatch) -> SequenceRequest {
         let arrival = &self.records[record].arrival;
         let blocks = (0..PREFIX_BLOCKS).map(|block| arrival.prefix * PREFIX_BLOCKS + block);
         let fits = arrival.prompt / ringbend_models::BLOCK_TOKENS;
-        Submit {
+        SequenceRequest {
             attempt: dispatch.attempt,
             prompt_tokens: TokenCount(arrival.prompt),
             max_tokens: arrival.output,
             resume_from: dispatch.resume_from,
             priority: dispatch.priority,
             blocks: blocks.take(fits as usize).collect(),
-            borrowed: TokenCount(dispatch.held.iter().map(|h| h.tokens.0).sum()),
+            reserved_elsewhere: TokenCount(dispatch.held.iter().map(|h| h.tokens.0).sum()),
         }
     }
 
@@ -78,7 +78,7 @@
 
     pub(super) fn schedule_step(&mut self, engine: usize) {
         let frozen_until = self.engines[engine].frozen_until;
-        if let Some(due) = self.engines[engine].model.next_step() {
+        if let Some(due) = self.engines[engine].model.step_ends_at() {
             self.at(due.max(frozen_until), Happening::Step { engine });
         }
     }
@@ -87,7 +87,7 @@
         if self.engines[engine].frozen_until > self.now {
             return;
         }
-        let due = self.engines[engine].model.next_step();
+        let due = self.engines[engine].model.step_ends_at();
         if due.is_none_or(|due| due > self.now) {
             return;
         }
--- a/crates/ringbend-models/src/engine.rs
+++ b/crates/ringbend-models/src/engine.rs
@@ -54,7 +54,7 @@
 
 /// A sequence submitted to an engine.
 #[derive(Debug, Clone)]
-pub struct Submit {
+pub struct SequenceRequest {
     /// The attempt it belongs to.
     pub attempt: AttemptId,
     /// Length of the prompt.
@@ -68,12 +68,14 @@
     /// Chained hashes of the prompt's blocks, for the prefix cache.
     pub blocks: Vec<u64>,
     /// KV memory that is reserved for the attempt on other engines.
-    pub borrowed: TokenCount,
+    pub reserved_elsewhere: TokenCount,
 }
 
-impl Submit {
+impl SequenceRequest {
     fn kv_required(&self) -> TokenCount {
-        self.prompt_tokens.saturating_add(TokenCount(self.max_tokens)).saturating_sub(self.borrowed)
+        self.prompt_tokens
+            .saturating_add(TokenCount(self.max_tokens))
+            .saturating_sub(self.reserved_elsewhere)
     }
 }
 
@@ -121,7 +123,7 @@
 
 #[derive(Debug, Clone)]
 struct Sequence {
-    submit: Submit,
+    request: SequenceRequest,
     prefill_remaining: u64,
     generated: u64,
 }
@@ -144,7 +146,7 @@
     peak_kv: TokenCount,
     state: EndpointState,
     highest_fencing: FencingToken,
-    orders_done: Vec<Order>,
+    executed_orders: Vec<Order>,
 }
 
 #[derive(Debug, Clone)]
@@ -170,7 +172,7 @@
             peak_kv: TokenCount(0),
             state: EndpointState::Live,
             highest_fencing: FencingToken(0),
-            orders_done: Vec::new(),
+            executed_orders: Vec::new(),
         }
     }
 
@@ -180,28 +182,28 @@
     }
 
     /// Queues a sequence, or refuses it without running it.
-    pub fn submit(&mut self, now: Timestamp, submit: Submit) -> Result<(), SubmitError> {
-        self.check_submit(&submit)?;
+    pub fn submit(&mut self, now: Timestamp, request: SequenceRequest) -> Result<(), SubmitError> {
+        self.check_request(&request)?;
         self.last_arrival += 1;
-        let position = (submit.priority, self.last_arrival);
-        self.positions.insert(submit.attempt, position);
-        let cached = self.cache.matched_tokens(&submit.blocks);
-        let prefix_tokens = submit.prompt_tokens.0 + submit.resume_from;
+        let position = (request.priority, self.last_arrival);
+        self.positions.insert(request.attempt, position);
+        let cached = self.cache.matched_tokens(&request.blocks);
+        let prefix_tokens = request.prompt_tokens.0 + request.resume_from;
         let prefill_remaining = prefix_tokens.saturating_sub(cached.0).max(1);
-        let generated = submit.resume_from;
-        self.waiting.insert(position, Sequence { submit, prefill_remaining, generated });
+        let generated = request.resume_from;
+        self.waiting.insert(position, Sequence { request, prefill_remaining, generated });
         self.start_step(now);
         Ok(())
     }
 
-    fn check_submit(&self, submit: &Submit) -> Result<(), SubmitError> {
+    fn check_request(&self, request: &SequenceRequest) -> Result<(), SubmitError> {
         if self.state == EndpointState::Leaving {
             return Err(SubmitError::Leaving);
         }
-        if self.positions.contains_key(&submit.attempt) {
+        if self.positions.contains_key(&request.attempt) {
             return Err(SubmitError::Duplicate);
         }
-        if submit.kv_required() > self.spec.kv_capacity {
+        if request.kv_required() > self.spec.kv_capacity {
             return Err(SubmitError::TooLarge);
         }
         if self.waiting.len() >= self.spec.max_waiting {
@@ -215,7 +217,7 @@
         let Some(position) = self.positions.remove(&attempt) else { return false };
         self.waiting.remove(&position);
         if let Some(sequence) = self.batch.remove(&position) {
-            self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_required());
+            self.kv_used = self.kv_used.saturating_sub(sequence.request.kv_required());
         }
         self.start_step(now);
         true
@@ -266,22 +268,22 @@
                 self.release(now, *attempt);
             }
         }
-        self.orders_done.push(order);
+        self.executed_orders.push(order);
         Ok(())
     }
 
     /// Executed orders, oldest first.
-    pub fn orders_done(&self) -> &[Order] {
-        &self.orders_done
+    pub fn executed_orders(&self) -> &[Order] {
+        &self.executed_orders
     }
 
     /// Models that orders loaded, oldest first.
-    pub fn models(&self) -> Vec<ModelName> {
+    pub fn loaded_models(&self) -> Vec<ModelName> {
         let model = |order: &Order| match &order.kind {
             OrderKind::LoadModel { model, .. } => Some(model.clone()),
             _ => None,
         };
-        self.orders_done.iter().filter_map(model).collect()
+        self.executed_orders.iter().filter_map(model).collect()
     }
 
     /// Sets the endpoint state; an engine that is leaving refuses new work.
@@ -290,7 +292,7 @@
     }
 
     /// End of the step in progress; `None` when idle.
-    pub fn next_step(&self) -> Option<Timestamp> {
+    pub fn step_ends_at(&self) -> Option<Timestamp> {
         self.step.as_ref().map(|step| step.ends_at)
     }
 
@@ -318,7 +320,7 @@
     }
 
     /// Number of prompt tokens that the prefix cache covers.
-    pub fn cached(&self, blocks: &[u64]) -> TokenCount {
+    pub fn cached_tokens(&self, blocks: &[u64]) -> TokenCount {
         self.cache.matched_tokens(blocks)
     }
 
@@ -333,7 +335,7 @@
     }
 
     /// Number of sequences, waiting and running.
-    pub fn sequences(&self) -> usize {
+    pub fn sequence_count(&self) -> usize {
         self.positions.len()
     }
 
@@ -364,7 +366,7 @@
     fn fill_batch(&mut self) {
         while self.batch.len() < self.spec.max_batch {
             let Some(first) = self.waiting.first_entry() else { return };
-            let new_kv_used = self.kv_used.saturating_add(first.get().submit.kv_required());
+            let new_kv_used = self.kv_used.saturating_add(first.get().request.kv_required());
             if new_kv_used > self.spec.kv_capacity {
                 return;
             }
@@ -392,7 +394,7 @@
             let Some(sequence) = self.batch.get_mut(position) else { continue };
             sequence.prefill_remaining -= chunk;
             if sequence.prefill_remaining == 0 {
-                self.cache.store(&sequence.submit.blocks);
+                self.cache.store(&sequence.request.blocks);
             }
         }
         let mut ended = Vec::new();
@@ -402,8 +404,8 @@
             }
             let index = sequence.generated;
             sequence.generated += 1;
-            let last = sequence.generated >= sequence.submit.max_tokens;
-            let attempt = sequence.submit.attempt;
+            let last = sequence.generated >= sequence.request.max_tokens;
+            let attempt = sequence.request.attempt;
             outputs.push(EngineOutput { attempt, index, last, at: step.ends_at });
             if last {
                 ended.push((*position, attempt));
@@ -412,7 +414,7 @@
         for (position, attempt) in ended {
             self.positions.remove(&attempt);
             if let Some(sequence) = self.batch.remove(&position) {
-                self.kv_used = self.kv_used.saturating_sub(sequence.submit.kv_required());
+                self.kv_used = self.kv_used.saturating_sub(sequence.request.kv_required());
             }
         }
     }
--- a/crates/ringbend-models/src/lib.rs
+++ b/crates/ringbend-models/src/lib.rs
@@ -7,7 +7,9 @@
 mod prefix_cache;
 mod table;
 
-pub use engine::{EngineModel, EngineOutput, EngineSpec, OrderOutcome, Submit, SubmitError};
+pub use engine::{
+    EngineModel, EngineOutput, EngineSpec, OrderOutcome, SequenceRequest, SubmitError,
+};
 pub use instance_list::InstanceListModel;
 pub use prefix_cache::{BLOCK_TOKENS, PrefixCache, prefix_blocks};
 pub use table::{TableFaults, TableModel, TableRates};
--- a/crates/ringbend-models/tests/engine.rs
+++ b/crates/ringbend-models/tests/engine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ringbend_models::{EngineModel, EngineSpec, Submit, SubmitError};
+use ringbend_models::{EngineModel, EngineSpec, SequenceRequest, SubmitError};
 use ringbend_platform::{Order, OrderKind, OrderRefusal, Reservation};
 use ringbend_types::{AttemptId, FencingToken, Timestamp, TokenCount, TokensPerSecond};
 
@@ -20,22 +20,22 @@
     AttemptId { incarnation: 1, sequence }
 }
 
-fn submit(sequence: u64, prompt: u64, priority: u8) -> Submit {
-    Submit {
+fn submit(sequence: u64, prompt: u64, priority: u8) -> SequenceRequest {
+    SequenceRequest {
         attempt: attempt(sequence),
         prompt_tokens: TokenCount(prompt),
         max_tokens: 10,
         resume_from: 0,
         priority,
         blocks: Vec::new(),
-        borrowed: TokenCount(0),
+        reserved_elsewhere: TokenCount(0),
     }
 }
 
 /// Runs the engine until it is idle and returns the time of each attempt's first token.
 fn first_tokens(engine: &mut EngineModel) -> Vec<(u64, Timestamp)> {
     let mut first_tokens_at = Vec::new();
-    while let Some(due) = engine.next_step() {
+    while let Some(due) = engine.step_ends_at() {
         for output in engine.advance(due) {
             if output.index == 0 {
                 first_tokens_at.push((output.attempt.sequence, output.at));
@@ -50,7 +50,7 @@
     let mut engine = engine();
     engine.submit(Timestamp(0), submit(1, 2_500, 0)).unwrap();
     let mut indexes = Vec::new();
-    while let Some(due) = engine.next_step() {
+    while let Some(due) = engine.step_ends_at() {
         indexes.extend(engine.advance(due).iter().map(|o| o.index));
     }
     assert_eq!(indexes, (0..10).collect::<Vec<_>>());
@@ -85,7 +85,7 @@
     let reservation = Reservation { attempt: attempt(9), tokens: TokenCount(9_000) };
     engine.reserve(reservation).unwrap();
     engine.submit(Timestamp(0), submit(1, 5_000, 0)).unwrap();
-    assert_eq!(engine.next_step(), None);
+    assert_eq!(engine.step_ends_at(), None);
     engine.release(Timestamp::from_millis(5), attempt(9));
     assert_eq!(first_tokens(&mut engine).len(), 1);
 }
@@ -104,10 +104,10 @@
     let prompt = vec![b'x'; 4 * 2_560];
     let blocks = ringbend_models::prefix_blocks(&prompt);
     let mut engine = engine();
-    let cold = Submit { blocks: blocks.clone(), ..submit(1, 2_560, 0) };
+    let cold = SequenceRequest { blocks: blocks.clone(), ..submit(1, 2_560, 0) };
     engine.submit(Timestamp(0), cold).unwrap();
     let cold = first_tokens(&mut engine)[0].1;
-    let warm = Submit { blocks, ..submit(2, 2_560, 0) };
+    let warm = SequenceRequest { blocks, ..submit(2, 2_560, 0) };
     engine.submit(Timestamp::from_millis(10_000), warm).unwrap();
     let warm = first_tokens(&mut engine)[0].1.since(Timestamp::from_millis(10_000));
     assert!(warm < cold.since(Timestamp(0)) / 4, "cold {cold}, warm {warm:?}");
--- a/crates/ringbend-standins/src/engine_api.rs
+++ b/crates/ringbend-standins/src/engine_api.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
-use ringbend_models::{Submit, SubmitError, prefix_blocks};
+use ringbend_models::{SequenceRequest, SubmitError, prefix_blocks};
 use ringbend_platform::{Order, Reservation, headers};
 use ringbend_runtime::{
     Handler, HttpRequest, HttpResponse, StreamError, StreamSender, empty, json, read_body, stream,
@@ -156,8 +156,8 @@
         let Some((job, voice)) = self.job(req, &prompt, chat) else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        let (attempt, request) = (job.submit.attempt, job.request);
-        let first = job.submit.resume_from;
+        let (attempt, request) = (job.sequence_request.attempt, job.request);
+        let first = job.sequence_request.resume_from;
         let tokens = match self.driver.submit(job) {
             Ok(tokens) => tokens,
             Err(e) => return refused(e),
@@ -186,21 +186,21 @@
             return None;
         }
         let prompt_tokens = (raw.len() as u64).div_ceil(BYTES_PER_TOKEN);
-        let submit = Submit {
+        let sequence_request = SequenceRequest {
             attempt: header(req, headers::ATTEMPT_ID).unwrap_or_else(|| self.own_attempt()),
             prompt_tokens: TokenCount(prompt_tokens),
             max_tokens: prompt.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             resume_from,
             priority: header(req, headers::PRIORITY).unwrap_or(0),
             blocks: prefix_blocks(raw),
-            borrowed: header(req, headers::BORROWED_TOKENS).unwrap_or_default(),
+            reserved_elsewhere: header(req, headers::BORROWED_TOKENS).unwrap_or_default(),
         };
         let request = header(req, headers::REQUEST_ID).unwrap_or(RequestId {
-            incarnation: submit.attempt.incarnation,
-            sequence: submit.attempt.sequence,
+            incarnation: sequence_request.attempt.incarnation,
+            sequence: sequence_request.attempt.sequence,
         });
         let voice = Voice { chat, model: self.model.clone(), prompt_tokens };
-        Some((Job { request, prompt_hash, submit }, voice))
+        Some((Job { request, prompt_hash, sequence_request }, voice))
     }
 
     /// An id for a request that came without one.
--- a/crates/ringbend-standins/src/engine_driver.rs
+++ b/crates/ringbend-standins/src/engine_driver.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ringbend_models::{EngineModel, EngineOutput, OrderOutcome, Submit, SubmitError};
+use ringbend_models::{EngineModel, EngineOutput, OrderOutcome, SequenceRequest, SubmitError};
 use ringbend_platform::{EndpointState, LoadReport, Order};
 use ringbend_runtime::Clock;
 use ringbend_types::{AttemptId, RequestId, Timestamp};
@@ -26,7 +26,7 @@
 pub(crate) struct Job {
     pub(crate) request: RequestId,
     pub(crate) prompt_hash: u64,
-    pub(crate) submit: Submit,
+    pub(crate) sequence_request: SequenceRequest,
 }
 
 struct Answer {
@@ -73,7 +73,7 @@
             let step = if self.faults.borrow().freeze {
                 Timestamp::NEVER
             } else {
-                self.model.borrow().next_step().unwrap_or(Timestamp::NEVER)
+                self.model.borrow().step_ends_at().unwrap_or(Timestamp::NEVER)
             };
             let due = self.clock.instant(step.min(next_report));
             tokio::select! {
@@ -94,11 +94,11 @@
     }
 
     pub(crate) fn submit(&self, job: Job) -> Result<mpsc::UnboundedReceiver<Token>, SubmitError> {
-        let attempt = job.submit.attempt;
-        if job.submit.resume_from == 0 && !self.begun.borrow_mut().insert(job.request) {
+        let attempt = job.sequence_request.attempt;
+        if job.sequence_request.resume_from == 0 && !self.begun.borrow_mut().insert(job.request) {
             self.rerun.borrow_mut().push(job.request);
         }
-        self.model.borrow_mut().submit(self.clock.now(), job.submit)?;
+        self.model.borrow_mut().submit(self.clock.now(), job.sequence_request)?;
         self.submitted.set(self.submitted.get() + 1);
         let (tokens, rx) = mpsc::unbounded_channel();
         let Job { request, prompt_hash, .. } = job;
@@ -201,7 +201,7 @@
     pub(crate) fn stats(&self) -> EngineStats {
         let model = self.model.borrow();
         EngineStats {
-            sequences: model.sequences(),
+            sequences: model.sequence_count(),
             kv_used: model.report().kv_used,
             peak_kv: model.peak_kv(),
             reservations: model.reservations().len(),
