--- a/crates/ringbend-bench/src/compare.rs
+++ b/crates/ringbend-bench/src/compare.rs
@@ -1,4 +1,4 @@
-//! Several policies, the same arrivals, several seeds.
+//! Compares policies on the same arrivals over several seeds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,44 +11,44 @@
 use crate::scenario::{Scenario, ScenarioName};
 use crate::world::World;
 
-/// What to compare.
+/// Parameters of a comparison.
 #[derive(Debug, Clone)]
 pub struct CompareConfig {
-    /// The scenario.
+    /// Scenario to run.
     pub scenario: ScenarioName,
-    /// Replaces the scenario's own load.
+    /// Overrides the scenario's load.
     pub load: Option<f64>,
-    /// Replaces the scenario's own time between load reports.
+    /// Overrides the scenario's interval between load reports.
     pub report_every: Option<Duration>,
-    /// The policies.
+    /// Policies to compare.
     pub policies: Vec<PolicyKind>,
-    /// The seeds.
+    /// Seeds; every policy runs once per seed.
     pub seeds: Vec<u64>,
 }
 
-/// One policy over all seeds.
+/// Results of one policy over all seeds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PolicyReport {
-    /// Mean of each figure.
+    /// Mean of each metric over the seeds.
     pub mean: Value,
-    /// Each seed's figures.
+    /// Metrics of each seed's run.
     pub by_seed: BTreeMap<u64, RunReport>,
 }
 
-/// The comparison.
+/// Result of a comparison.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct CompareReport {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// Offered load over capacity.
+    /// Offered load as a fraction of the capacity.
     pub load: f64,
-    /// What the engines can prefill, in tokens a second.
+    /// Prefill capacity of all engines, in tokens per second.
     pub capacity_tokens_per_s: f64,
-    /// By policy.
+    /// Results by policy name.
     pub policies: BTreeMap<String, PolicyReport>,
 }
 
-/// Runs the comparison.
+/// Runs every policy with every seed and averages the metrics.
 pub fn compare(cfg: &CompareConfig) -> CompareReport {
     let mut scenario = Scenario::new(cfg.scenario, cfg.load);
     scenario.report_every = cfg.report_every.unwrap_or(scenario.report_every);
@@ -56,7 +56,7 @@
     for kind in &cfg.policies {
         let by_seed: BTreeMap<u64, RunReport> =
             cfg.seeds.iter().map(|seed| (*seed, run(&scenario, *kind, *seed))).collect();
-        let mean = mean(&by_seed);
+        let mean = mean_report(&by_seed);
         policies.insert(kind.to_string(), PolicyReport { mean, by_seed });
     }
     CompareReport {
@@ -67,40 +67,41 @@
     }
 }
 
-/// One run, and one with the same arrivals but without the long prompts, for the slowdown.
+/// Runs the simulation twice, with all arrivals and with the short prompts alone, to measure how
+/// much the long prompts slow the short ones down.
 fn run(scenario: &Scenario, kind: PolicyKind, seed: u64) -> RunReport {
     let arrivals = scenario.arrivals(seed);
     let short_only = arrivals.iter().filter(|a| a.prompt < LONG_TOKENS).cloned().collect();
-    let alone = World::new(scenario.clone(), kind, seed, short_only).run();
-    let alone = RunReport::of(scenario, &alone);
-    let beside = World::new(scenario.clone(), kind, seed, arrivals).run();
-    let mut report = RunReport::of(scenario, &beside);
+    let baseline = World::new(scenario.clone(), kind, seed, short_only).run();
+    let baseline = RunReport::of(scenario, &baseline);
+    let mixed = World::new(scenario.clone(), kind, seed, arrivals).run();
+    let mut report = RunReport::of(scenario, &mixed);
     let p99 = |report: &RunReport| report.ttft.get("1k").map_or(0.0, |bucket| bucket.p99_ms);
-    report.short_slowdown_p99 = p99(&report) / p99(&alone).max(1e-9);
+    report.short_slowdown_p99 = p99(&report) / p99(&baseline).max(1e-9);
     report
 }
 
-/// The mean of every number, at any depth.
-fn mean(by_seed: &BTreeMap<u64, RunReport>) -> Value {
+/// Averages every number of the reports, at any nesting depth.
+fn mean_report(by_seed: &BTreeMap<u64, RunReport>) -> Value {
     let values: Vec<Value> =
         by_seed.values().map(|r| serde_json::to_value(r).unwrap_or(Value::Null)).collect();
-    mean_of(&values)
+    mean_value(&values)
 }
 
-fn mean_of(values: &[Value]) -> Value {
+fn mean_value(values: &[Value]) -> Value {
     match values.first() {
         Some(Value::Object(fields)) => {
             let mut means = Map::new();
             for name in fields.keys() {
-                let of: Vec<Value> = values.iter().map(|v| v[name].clone()).collect();
-                means.insert(name.clone(), mean_of(&of));
+                let field_values: Vec<Value> = values.iter().map(|v| v[name].clone()).collect();
+                means.insert(name.clone(), mean_value(&field_values));
             }
             Value::Object(means)
         }
         _ => {
             let sum: f64 = values.iter().filter_map(Value::as_f64).sum();
             let mean = sum / values.len().max(1) as f64;
-            // Four digits after the point are more than the figures hold.
+            // Four decimals exceed the precision of the measurements.
             Value::from((mean * 1e4).round() / 1e4)
         }
     }
--- a/crates/ringbend-bench/src/gossip.rs
+++ b/crates/ringbend-bench/src/gossip.rs
@@ -1,5 +1,6 @@
-//! Membership gossip at growing numbers of instances: bytes, processor time, memory, and how long
-//! a death, a leave, a settings version or a leaving endpoint takes to be known by all.
+//! Benchmark of the membership gossip at growing numbers of instances: bandwidth, CPU time, memory,
+//! and the time until all instances know of a crash, a leave, a settings version or a leaving
+//! endpoint.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,117 +16,118 @@
 use ringbend_wire::{Envelope, Gossip, Message as _, envelope};
 use serde::Serialize;
 
-/// Random stream of the network.
-const NETWORK: u64 = 21;
+/// Random number stream of the simulated network.
+const NETWORK_STREAM: u64 = 21;
 
-/// Bytes that QUIC, UDP and IP add to a datagram.
+/// Bytes that the QUIC, UDP and IP headers add to a datagram.
 pub(crate) const DATAGRAM_OVERHEAD: u64 = 28 + 31;
 
-/// One way between instances.
+/// One-way latency between instances.
 const LATENCY: Duration = Duration::from_micros(1_500);
 
-/// The gossip settles for this long before anything is measured.
-const SETTLE: Duration = Duration::from_secs(20);
+/// Time for the membership to converge before the measurements start.
+const CONVERGENCE_TIME: Duration = Duration::from_secs(20);
 
-/// Bytes and processor time are measured over this long.
-const STEADY: Duration = Duration::from_secs(30);
+/// Time over which bandwidth and CPU time are measured.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(30);
 
-/// How long an event may take to be known.
-const KNOWN_WITHIN: Duration = Duration::from_secs(60);
+/// Upper bound of a measured propagation time.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(60);
 
-/// How the gossip is measured.
+/// Parameters of a gossip benchmark.
 #[derive(Debug, Clone)]
 pub struct GossipConfig {
-    /// How many instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Part of the messages that get lost.
+    /// Fraction of messages to drop.
     pub loss: f64,
-    /// Of the instances and the network.
+    /// Seed of the instances and the network.
     pub seed: u64,
-    /// Read the processor's clock; without it the report is the same each time.
+    /// Whether to measure CPU time; without it, runs with the same seed give identical reports.
     pub processor_time: bool,
 }
 
-/// What was measured, per instance.
+/// Result of a gossip benchmark. Rates and sizes are per instance.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct GossipReport {
-    /// How many instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Part of the messages that got lost.
+    /// Fraction of messages that were dropped.
     pub loss: f64,
-    /// Sent and received a second, with the datagrams' overhead.
+    /// Bytes sent and received per second, including the datagram overhead.
     pub bytes_per_s: f64,
-    /// Messages sent and received a second.
+    /// Messages sent and received per second.
     pub messages_per_s: f64,
-    /// Processor time of the decisions and the codec, in percent of one core.
+    /// CPU time of the membership logic and the codec, in percent of one core.
     pub core_percent: Option<f64>,
-    /// Memory of the members known, by their types' sizes and text.
+    /// Estimated memory of the member table, from the size of its type and the length of its text.
     pub memory_bytes: u64,
-    /// Until every live instance knew of a death, in seconds.
+    /// Time until every live instance knew of a crash, in seconds.
     pub death_known_s: f64,
-    /// Until every live instance knew of a leave, in seconds.
+    /// Time until every live instance knew of a leave, in seconds.
     pub leave_known_s: f64,
-    /// Until every live instance had heard of a settings version, in seconds.
+    /// Time until every live instance knew of a settings version, in seconds.
     pub settings_known_s: f64,
-    /// Until every live instance knew of a leaving endpoint, in seconds.
+    /// Time until every live instance knew of a leaving endpoint, in seconds.
     pub endpoint_leaving_known_s: f64,
-    /// Live instances taken for dead by another while all joined at once.
+    /// Times that an instance declared a live one dead while all joined at once.
     pub false_deaths_joining: u64,
-    /// Live instances taken for dead by another after that, one paused for a second.
+    /// Times that an instance declared a live one dead after that, while one paused for 1 s.
     pub false_deaths: u64,
-    /// Suspicions that a live instance had to refute.
+    /// Suspicions that live instances refuted.
     pub refuted: u64,
 }
 
-enum Happening {
+enum NetworkEvent {
     Wake(usize),
-    Arrive(usize, Box<Message>),
+    Deliver(usize, Box<Message>),
 }
 
-struct Net {
+struct GossipSimulation {
     now: Timestamp,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
-    order: u64,
+    events: BTreeMap<u64, NetworkEvent>,
+    sequence: u64,
     rng: ChaCha8Rng,
     loss: f64,
     nodes: Vec<Membership>,
-    silent: Vec<bool>,
+    crashed: Vec<bool>,
     paused_until: Vec<Timestamp>,
-    heard_version: Vec<SettingsVersion>,
-    heard_leaving: Vec<bool>,
+    known_version: Vec<SettingsVersion>,
+    knows_leaving: Vec<bool>,
     bytes: u64,
     messages: u64,
     false_deaths: u64,
-    spent: Option<Duration>,
+    cpu_time: Option<Duration>,
 }
 
-/// Measures one size.
+/// Runs the benchmark at one number of instances.
 pub fn measure_gossip(cfg: &GossipConfig) -> GossipReport {
-    let mut net = Net::new(cfg);
-    net.run_for(SETTLE);
+    let mut net = GossipSimulation::new(cfg);
+    net.run_for(CONVERGENCE_TIME);
     let false_deaths_joining = std::mem::take(&mut net.false_deaths);
     net.bytes = 0;
     net.messages = 0;
-    net.spent = cfg.processor_time.then_some(Duration::ZERO);
-    net.run_for(STEADY);
-    let per_instance = STEADY.as_secs_f64() * cfg.instances as f64;
+    net.cpu_time = cfg.processor_time.then_some(Duration::ZERO);
+    net.run_for(MEASUREMENT_TIME);
+    let per_instance = MEASUREMENT_TIME.as_secs_f64() * cfg.instances as f64;
     // Each byte is sent by one instance and received by another.
     let bytes_per_s = 2.0 * net.bytes as f64 / per_instance;
     let messages_per_s = 2.0 * net.messages as f64 / per_instance;
-    let core_percent = net.spent.take().map(|spent| 100.0 * spent.as_secs_f64() / per_instance);
-    let settings_known_s = net.spread_settings();
-    let endpoint_leaving_known_s = net.spread_endpoint();
-    net.pause_one();
-    let leave_known_s = net.spread_state(cfg.instances - 1, MemberState::Leaving);
-    let death_known_s = net.spread_state(cfg.instances - 2, MemberState::Dead);
+    let core_percent =
+        net.cpu_time.take().map(|cpu_time| 100.0 * cpu_time.as_secs_f64() / per_instance);
+    let settings_known_s = net.measure_settings_propagation();
+    let endpoint_leaving_known_s = net.measure_endpoint_propagation();
+    net.pause_one_instance();
+    let leave_known_s = net.measure_state_propagation(cfg.instances - 1, MemberState::Leaving);
+    let death_known_s = net.measure_state_propagation(cfg.instances - 2, MemberState::Dead);
     GossipReport {
         instances: cfg.instances,
         loss: cfg.loss,
         bytes_per_s,
         messages_per_s,
         core_percent,
-        memory_bytes: memory(&net.nodes[0]),
+        memory_bytes: member_table_bytes(&net.nodes[0]),
         death_known_s,
         leave_known_s,
         settings_known_s,
@@ -136,10 +138,10 @@
     }
 }
 
-fn memory(node: &Membership) -> u64 {
+fn member_table_bytes(node: &Membership) -> u64 {
     let members = node.members();
-    let of = |m: &Member| std::mem::size_of::<Member>() + 2 * m.id.as_str().len() + 64;
-    members.map(of).sum::<usize>() as u64
+    let member_bytes = |m: &Member| std::mem::size_of::<Member>() + 2 * m.id.as_str().len() + 64;
+    members.map(member_bytes).sum::<usize>() as u64
 }
 
 fn address(n: usize) -> SocketAddr {
@@ -150,14 +152,14 @@
     format!("instance-{n}").parse().unwrap_or_else(|_| unreachable!("a valid id"))
 }
 
-fn node_at(address: SocketAddr) -> usize {
+fn node_index(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => usize::from(ip.octets()[2]) * 250 + usize::from(ip.octets()[3]),
         std::net::IpAddr::V6(_) => 0,
     }
 }
 
-impl Net {
+impl GossipSimulation {
     fn new(cfg: &GossipConfig) -> Self {
         let n = cfg.instances;
         let seeds: Vec<SocketAddr> = (0..3.min(n)).map(address).collect();
@@ -170,31 +172,31 @@
         let mut net = Self {
             now: Timestamp::default(),
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
-            order: 0,
-            rng: Seed(cfg.seed).rng(NETWORK),
+            events: BTreeMap::new(),
+            sequence: 0,
+            rng: Seed(cfg.seed).rng(NETWORK_STREAM),
             loss: cfg.loss,
             nodes: (0..n).map(node).collect(),
-            silent: vec![false; n],
+            crashed: vec![false; n],
             paused_until: vec![Timestamp::default(); n],
-            heard_version: vec![SettingsVersion(0); n],
-            heard_leaving: vec![false; n],
+            known_version: vec![SettingsVersion(0); n],
+            knows_leaving: vec![false; n],
             bytes: 0,
             messages: 0,
             false_deaths: 0,
-            spent: None,
+            cpu_time: None,
         };
         for at in 0..n {
             let start = Timestamp(net.rng.random_range(0..200_000));
-            net.at(start, Happening::Wake(at));
+            net.schedule_at(start, NetworkEvent::Wake(at));
         }
         net
     }
 
-    fn at(&mut self, at: Timestamp, happening: Happening) {
-        self.order += 1;
-        self.happenings.insert(self.order, happening);
-        self.queue.push(Reverse((at, self.order)));
+    fn schedule_at(&mut self, at: Timestamp, network_event: NetworkEvent) {
+        self.sequence += 1;
+        self.events.insert(self.sequence, network_event);
+        self.queue.push(Reverse((at, self.sequence)));
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -203,30 +205,30 @@
         self.now = end;
     }
 
-    /// Runs until the condition holds or the time is over.
+    /// Runs until `done` returns true or the time reaches `end`.
     fn run_until(&mut self, end: Timestamp, done: impl Fn(&Self) -> bool) {
-        while let Some(Reverse((at, order))) = self.queue.peek().copied() {
+        while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
             if at > end || done(self) {
                 return;
             }
             self.queue.pop();
             self.now = at;
-            match self.happenings.remove(&order) {
-                Some(Happening::Wake(node)) => {
-                    let resumes = self.paused_until[node];
-                    if resumes > self.now {
-                        self.at(resumes, Happening::Wake(node));
+            match self.events.remove(&sequence) {
+                Some(NetworkEvent::Wake(node)) => {
+                    let resumes_at = self.paused_until[node];
+                    if resumes_at > self.now {
+                        self.schedule_at(resumes_at, NetworkEvent::Wake(node));
                         continue;
                     }
                     self.handle(node, Event::Tick);
                     let wake =
                         self.nodes[node].next_wakeup().max(self.now + Duration::from_millis(1));
-                    self.at(wake, Happening::Wake(node));
+                    self.schedule_at(wake, NetworkEvent::Wake(node));
                 }
-                Some(Happening::Arrive(node, message)) => {
-                    let resumes = self.paused_until[node];
-                    if resumes > self.now {
-                        self.at(resumes, Happening::Arrive(node, message));
+                Some(NetworkEvent::Deliver(node, message)) => {
+                    let resumes_at = self.paused_until[node];
+                    if resumes_at > self.now {
+                        self.schedule_at(resumes_at, NetworkEvent::Deliver(node, message));
                     } else {
                         self.handle(node, Event::Received(*message));
                     }
@@ -237,30 +239,30 @@
     }
 
     fn handle(&mut self, node: usize, event: Event) {
-        if self.silent[node] {
+        if self.crashed[node] {
             return;
         }
-        let begun = self.spent.is_some().then(Instant::now);
+        let started = self.cpu_time.is_some().then(Instant::now);
         let actions = self.nodes[node].handle(self.now, event);
-        if let (Some(begun), Some(spent)) = (begun, &mut self.spent) {
-            *spent += begun.elapsed();
+        if let (Some(started), Some(cpu_time)) = (started, &mut self.cpu_time) {
+            *cpu_time += started.elapsed();
         }
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(to, message),
                 Action::Changed(member) => {
-                    let about = node_at(member.address);
-                    if member.state == MemberState::Dead && !self.silent[about] {
+                    let about = node_index(member.address);
+                    if member.state == MemberState::Dead && !self.crashed[about] {
                         self.false_deaths += 1;
                     }
                 }
                 Action::NewerSettings(_, version) => {
-                    // The driver fetches the entries and then has them in force.
-                    self.heard_version[node] = version;
+                    // A real driver fetches the settings entries first and then applies them.
+                    self.known_version[node] = version;
                     self.handle(node, Event::Settings(version));
                 }
                 Action::EndpointLeaving(endpoint) => {
-                    if !std::mem::replace(&mut self.heard_leaving[node], true) {
+                    if !std::mem::replace(&mut self.knows_leaving[node], true) {
                         self.handle(node, Event::EndpointLeaving(endpoint));
                     }
                 }
@@ -269,7 +271,7 @@
     }
 
     fn send(&mut self, to: SocketAddr, message: Message) {
-        let begun = self.spent.is_some().then(Instant::now);
+        let started = self.cpu_time.is_some().then(Instant::now);
         let envelope = Envelope { body: Some(envelope::Body::Gossip(Gossip::from(&message))) };
         let bytes = envelope.encode_to_vec();
         self.bytes += bytes.len() as u64 + DATAGRAM_OVERHEAD;
@@ -279,55 +281,55 @@
         }
         let jitter = Duration::from_micros(self.rng.random_range(0..500));
         let decoded = Envelope::decode(bytes.as_slice()).ok().and_then(|e| e.body);
-        if let (Some(begun), Some(spent)) = (begun, &mut self.spent) {
-            *spent += begun.elapsed();
+        if let (Some(started), Some(cpu_time)) = (started, &mut self.cpu_time) {
+            *cpu_time += started.elapsed();
         }
         if let Some(envelope::Body::Gossip(gossip)) = decoded
             && let Ok(message) = Message::try_from(gossip)
         {
-            let arrival = Happening::Arrive(node_at(to), Box::new(message));
-            self.at(self.now + LATENCY + jitter, arrival);
+            let arrival = NetworkEvent::Deliver(node_index(to), Box::new(message));
+            self.schedule_at(self.now + LATENCY + jitter, arrival);
         }
     }
 
-    fn spread_settings(&mut self) -> f64 {
+    fn measure_settings_propagation(&mut self) -> f64 {
         let version = SettingsVersion(1);
-        self.heard_version[0] = version;
+        self.known_version[0] = version;
         self.handle(0, Event::Settings(version));
-        self.time_until(|net| net.heard_version.iter().all(|heard| *heard == version))
+        self.time_until(|net| net.known_version.iter().all(|current| *current == version))
     }
 
-    fn spread_endpoint(&mut self) -> f64 {
+    fn measure_endpoint_propagation(&mut self) -> f64 {
         let Ok(endpoint) = "engine-1".parse::<EndpointId>() else { return 0.0 };
-        self.heard_leaving[0] = true;
+        self.knows_leaving[0] = true;
         self.handle(0, Event::EndpointLeaving(endpoint));
-        self.time_until(|net| net.heard_leaving.iter().all(|heard| *heard))
+        self.time_until(|net| net.knows_leaving.iter().all(|informed| *informed))
     }
 
-    /// One instance stands still for a second, then goes on.
-    fn pause_one(&mut self) {
+    /// Pauses one instance for 1 s and runs for 10 s, to check for false deaths.
+    fn pause_one_instance(&mut self) {
         self.paused_until[1] = self.now + Duration::from_secs(1);
         self.run_for(Duration::from_secs(10));
     }
 
-    fn spread_state(&mut self, node: usize, state: MemberState) -> f64 {
+    fn measure_state_propagation(&mut self, node: usize, state: MemberState) -> f64 {
         if state == MemberState::Leaving {
             self.handle(node, Event::Leave);
         } else {
-            self.silent[node] = true;
+            self.crashed[node] = true;
         }
-        let gone = id(node);
+        let changed = id(node);
         self.time_until(move |net| {
             net.nodes.iter().enumerate().all(|(at, other)| {
-                let known = other.members().find(|m| m.id == gone);
-                at == node || net.silent[at] || known.is_none_or(|m| m.state >= state)
+                let known = other.members().find(|m| m.id == changed);
+                at == node || net.crashed[at] || known.is_none_or(|m| m.state >= state)
             })
         })
     }
 
     fn time_until(&mut self, done: impl Fn(&Self) -> bool) -> f64 {
-        let begun = self.now;
-        self.run_until(begun + KNOWN_WITHIN, done);
-        self.now.since(begun).as_secs_f64()
+        let started = self.now;
+        self.run_until(started + MAX_PROPAGATION_TIME, done);
+        self.now.since(started).as_secs_f64()
     }
 }
--- a/crates/ringbend-bench/src/lib.rs
+++ b/crates/ringbend-bench/src/lib.rs
@@ -1,6 +1,7 @@
-//! Measures the decision crates in virtual time: the policy before modelled engines, the sharing
-//! of limits, and membership gossip. There is no network stack and no process model: events are
-//! passed on after a latency, some are lost, and the same seed gives the same bytes.
+//! Discrete-event benchmarks of the decision crates: routing policies in front of modelled engines,
+//! limit sharing, and membership gossip. They simulate time and model neither a network stack nor
+//! processes: events are delivered after a latency, some are dropped, and the same seed gives a
+//! byte-identical report.
 
 mod compare;
 mod gossip;
--- a/crates/ringbend-bench/src/main.rs
+++ b/crates/ringbend-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `ringbend-bench`: measures the decisions in virtual time.
+//! `ringbend-bench`: runs the benchmarks of `ringbend_bench` from the command line.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 };
 use serde::Serialize;
 
-/// Measures Ringbend's decisions in virtual time.
+/// Benchmarks Ringbend's routing, limit sharing and membership in simulated time.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -28,29 +28,29 @@
     Limits(LimitsArgs),
 }
 
-/// compare policies in a scenario
+/// compare routing policies in a scenario
 #[derive(FromArgs)]
 #[argh(subcommand, name = "compare")]
 struct CompareArgs {
-    /// the scenario
+    /// scenario to run
     #[argh(option)]
     scenario: ScenarioName,
-    /// the policies, with commas between
+    /// comma-separated policies
     #[argh(option)]
-    policy: List<PolicyKind>,
-    /// seeds, as 1..5 or 1,2,5
+    policy: CommaList<PolicyKind>,
+    /// seeds, as an inclusive range (1..5) or a list (1,2,5)
     #[argh(option, default = "Seeds((1..=5).collect())")]
     seeds: Seeds,
-    /// offered load over capacity, in place of the scenario's
+    /// offered load as a fraction of the capacity; overrides the scenario's
     #[argh(option)]
     load: Option<f64>,
-    /// milliseconds between load reports, in place of the scenario's
+    /// milliseconds between load reports; overrides the scenario's
     #[argh(option)]
     report_ms: Option<u64>,
     /// print JSON
     #[argh(switch)]
     json: bool,
-    /// draw p95 time to first token into this SVG file
+    /// plot the p95 time to first token into this SVG file
     #[argh(option)]
     plot: Option<PathBuf>,
 }
@@ -59,38 +59,39 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "membership")]
 struct MembershipArgs {
-    /// numbers of instances, with commas between
+    /// comma-separated numbers of instances
     #[argh(option)]
-    instances: List<usize>,
-    /// part of the messages that get lost
+    instances: CommaList<usize>,
+    /// fraction of messages to drop
     #[argh(option, default = "0.05")]
     loss: f64,
-    /// the seed
+    /// seed of the instances and the network
     #[argh(option, default = "1")]
     seed: u64,
     /// print JSON
     #[argh(switch)]
     json: bool,
-    /// leave the processor's clock alone, so that two runs print the same
+    /// do not measure CPU time, so that two runs print the same
     #[argh(switch)]
     no_processor_time: bool,
 }
 
-/// measure the sharing of an account's limit
+/// measure how instances share an account's rate limit
 #[derive(FromArgs)]
 #[argh(subcommand, name = "limits")]
 struct LimitsArgs {
-    /// numbers of instances, with commas between
-    #[argh(option, default = "List(vec![9])")]
-    instances: List<usize>,
+    /// comma-separated numbers of instances
+    #[argh(option, default = "CommaList(vec![9])")]
+    instances: CommaList<usize>,
     /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-struct List<T>(Vec<T>);
+/// Comma-separated values of one option.
+struct CommaList<T>(Vec<T>);
 
-impl<T: FromStr> FromStr for List<T>
+impl<T: FromStr> FromStr for CommaList<T>
 where
     T::Err: fmt::Display,
 {
@@ -101,6 +102,7 @@
     }
 }
 
+/// Seeds as an inclusive range (`1..5`) or a comma-separated list.
 struct Seeds(Vec<u64>);
 
 impl FromStr for Seeds {
@@ -144,7 +146,7 @@
         );
         for (name, policy) in &report.policies {
             println!("\n{name}");
-            print_outline(&policy.mean, 1);
+            print_tree(&policy.mean, 1);
         }
     }
     if let Some(file) = &args.plot
@@ -194,13 +196,13 @@
     println!("{}", serde_json::to_string(value).unwrap_or_default());
 }
 
-fn print_outline(value: &serde_json::Value, depth: usize) {
+fn print_tree(value: &serde_json::Value, depth: usize) {
     let Some(fields) = value.as_object() else { return };
     for (name, field) in fields {
         let indent = "  ".repeat(depth);
         if field.is_object() {
             println!("{indent}{name}:");
-            print_outline(field, depth + 1);
+            print_tree(field, depth + 1);
         } else {
             println!("{indent}{name}: {field}");
         }
--- a/crates/ringbend-bench/src/metrics.rs
+++ b/crates/ringbend-bench/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of one run.
+//! Metrics of one run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,86 +10,89 @@
 use crate::scenario::Scenario;
 use crate::world::{CallerEnd, RequestRecord, WorldReport};
 
-/// Prompts of at least this many tokens are the long ones of the reports.
+/// Prompts of at least this many tokens count as long in the reports.
 pub(crate) const LONG_TOKENS: u64 = 50_000;
 
-/// Time to first token of one bucket, in milliseconds.
+/// Time to first token in one prompt length bucket, in milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct BucketReport {
-    /// Half were faster.
+    /// 50th percentile.
     pub p50_ms: f64,
-    /// 95 in 100 were faster.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 were faster.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// How many were measured.
+    /// Number of requests with a first token.
     pub n: f64,
 }
 
-/// One policy in one scenario; as a mean over seeds all numbers are means.
+/// Metrics of one policy in one scenario. Counts are `f64` because the same fields hold the means
+/// over several seeds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct RunReport {
-    /// Requests that arrived after the warm-up.
+    /// Requests that arrived after the warm-up; the other counts are of these.
     pub requests: f64,
-    /// Of those, admitted.
+    /// Requests that an instance admitted.
     pub admitted: f64,
-    /// Answered whole, within the deadline.
+    /// Requests answered completely within their deadline.
     pub answered_in_time: f64,
-    /// Admitted, and failed.
+    /// Requests that failed after admission.
     pub failed: f64,
-    /// Refused, and not run.
+    /// Requests that were refused and not run.
     pub rejected: f64,
-    /// Lost with their instance.
+    /// Requests lost in the crash of their instance.
     pub instance_lost: f64,
-    /// Neither answered nor failed at the end.
+    /// Requests without an outcome at the end of the run.
     pub open_at_end: f64,
-    /// Prompt and answer tokens a second of answers that ended in time, and while requests were
-    /// still arriving.
+    /// Prompt and output tokens per second of answers that completed within their deadline, after
+    /// the warm-up and while requests were still arriving.
     pub goodput_tokens_per_s: f64,
-    /// Long requests that were admitted and not answered.
+    /// Long requests that were admitted but not answered.
     pub long_dropped: f64,
     /// Attempts per admitted request.
     pub attempts_per_request: f64,
-    /// Times callers came back after a refusal.
+    /// Retries by callers after a refusal.
     pub came_back: f64,
-    /// Deviation of the Retry-After values over their mean; 0 is callers in step.
+    /// Coefficient of variation of the Retry-After values; 0 means that callers retry in lockstep.
     pub retry_after_spread: f64,
-    /// The largest shortfall of an account against its share, a part of one.
+    /// Largest shortfall of an account against its max-min fair share, as a fraction of the share.
     pub worst_shortfall: f64,
-    /// Sequences that found too little memory at an engine.
+    /// Sequences submitted to an engine that had too little free memory at that moment.
     pub overcommits: f64,
-    /// Requests not to be repeated that ran more than once.
+    /// Non-repeatable requests that ran more than once.
     pub double_runs: f64,
-    /// KV memory held after the last answer.
+    /// KV memory in use after the last answer, in tokens.
     pub held_at_end: f64,
-    /// Time to first token by prompt length.
+    /// Time to first token by prompt length bucket.
     pub ttft: BTreeMap<&'static str, BucketReport>,
-    /// p99 of the shortest bucket over the same without long prompts.
+    /// p99 time to first token of the shortest bucket, divided by the same in a run without long
+    /// prompts.
     pub short_slowdown_p99: f64,
 }
 
 impl RunReport {
-    /// The figures of a run.
+    /// Computes the metrics of a run.
     pub fn of(scenario: &Scenario, world: &WorldReport) -> Self {
-        let warm = scenario.warm_up;
+        let warm_up_time = scenario.warm_up;
         let measured: Vec<&RequestRecord> = world
             .records
             .iter()
-            .filter(|r| r.arrival.at.since(Timestamp::default()) >= warm)
+            .filter(|r| r.arrival.at.since(Timestamp::default()) >= warm_up_time)
             .collect();
         let count =
             |f: &dyn Fn(&RequestRecord) -> bool| measured.iter().filter(|r| f(r)).count() as f64;
         let in_time = |r: &RequestRecord| answered_in_time(scenario, r);
         let seconds = (scenario.duration - scenario.warm_up).as_secs_f64();
-        let begin = Timestamp::default() + scenario.warm_up;
-        let end = Timestamp::default() + scenario.duration;
-        let within = |r: &RequestRecord| r.end.is_some_and(|(at, _)| at >= begin && at <= end);
-        let good = world.records.iter().filter(|r| in_time(r) && within(r));
-        let good: u64 = good.map(cost).sum();
+        let window_start = Timestamp::default() + scenario.warm_up;
+        let window_end = Timestamp::default() + scenario.duration;
+        let in_window =
+            |r: &RequestRecord| r.end.is_some_and(|(at, _)| at >= window_start && at <= window_end);
+        let goodput = world.records.iter().filter(|r| in_time(r) && in_window(r));
+        let goodput: u64 = goodput.map(total_tokens).sum();
         let admitted = count(&|r| r.admitted);
         let attempts: u32 = measured.iter().map(|r| r.attempts).sum();
         let ended = |r: &RequestRecord, f: fn(CallerEnd) -> bool| r.end.is_some_and(|(_, e)| f(e));
-        let buckets = PromptBucket::ALL.map(|b| (b.label(), bucket(&measured, b)));
+        let buckets = PromptBucket::ALL.map(|b| (b.label(), bucket_report(&measured, b)));
         Self {
             requests: measured.len() as f64,
             admitted,
@@ -98,14 +101,14 @@
             rejected: count(&|r| ended(r, |e| matches!(e, CallerEnd::Rejected(_)))),
             instance_lost: count(&|r| ended(r, |e| e == CallerEnd::InstanceLost)),
             open_at_end: world.open_at_end as f64,
-            goodput_tokens_per_s: good as f64 / seconds,
+            goodput_tokens_per_s: goodput as f64 / seconds,
             long_dropped: count(&|r| {
                 let long = r.arrival.prompt >= LONG_TOKENS;
                 long && r.admitted && !ended(r, |e| e == CallerEnd::Answered)
             }),
             attempts_per_request: f64::from(attempts) / admitted.max(1.0),
             came_back: measured.iter().map(|r| f64::from(r.came_back)).sum(),
-            retry_after_spread: spread(&measured),
+            retry_after_spread: coefficient_of_variation(&measured),
             worst_shortfall: worst_shortfall(scenario, &measured),
             overcommits: world.overcommits as f64,
             double_runs: count(&|r| !scenario.classes[r.arrival.class].repeatable && r.runs > 1),
@@ -121,12 +124,12 @@
     record.end.is_some_and(|(at, end)| end == CallerEnd::Answered && at <= deadline)
 }
 
-fn cost(record: &RequestRecord) -> u64 {
+fn total_tokens(record: &RequestRecord) -> u64 {
     record.arrival.prompt + record.arrival.output
 }
 
-/// Requests without a first token count as having waited for as long as the longest did.
-fn bucket(measured: &[&RequestRecord], bucket: PromptBucket) -> BucketReport {
+/// Time to first token of the requests in `bucket`. Requests without a first token are left out.
+fn bucket_report(measured: &[&RequestRecord], bucket: PromptBucket) -> BucketReport {
     const MICROS_PER_MILLI: f64 = 1_000.0;
     let Ok(mut histogram) = Histogram::<u64>::new(3) else { return BucketReport::default() };
     for record in measured {
@@ -142,45 +145,45 @@
     BucketReport { p50_ms: at(0.5), p95_ms: at(0.95), p99_ms: at(0.99), n: histogram.len() as f64 }
 }
 
-fn spread(measured: &[&RequestRecord]) -> f64 {
-    let waits: Vec<f64> =
+fn coefficient_of_variation(measured: &[&RequestRecord]) -> f64 {
+    let delays: Vec<f64> =
         measured.iter().flat_map(|r| &r.retry_after).map(Duration::as_secs_f64).collect();
-    if waits.is_empty() {
+    if delays.is_empty() {
         return 0.0;
     }
-    let mean = waits.iter().sum::<f64>() / waits.len() as f64;
-    let variance = waits.iter().map(|w| (w - mean).powi(2)).sum::<f64>() / waits.len() as f64;
+    let mean = delays.iter().sum::<f64>() / delays.len() as f64;
+    let variance = delays.iter().map(|w| (w - mean).powi(2)).sum::<f64>() / delays.len() as f64;
     if mean > 0.0 { variance.sqrt() / mean } else { 0.0 }
 }
 
-/// Each account's share of what was served is by max-min fairness with equal weights: nobody gets
-/// more than it asks for, and what is left over is shared among those who ask for more.
+/// The fair shares of the served tokens follow max-min fairness with equal weights: no account gets
+/// more than its demand, and the remainder is divided among the accounts with unmet demand.
 fn worst_shortfall(scenario: &Scenario, measured: &[&RequestRecord]) -> f64 {
-    let mut asked = vec![0.0; scenario.accounts.len()];
-    let mut got = vec![0.0; scenario.accounts.len()];
+    let mut demand = vec![0.0; scenario.accounts.len()];
+    let mut served = vec![0.0; scenario.accounts.len()];
     for record in measured {
-        let cost = cost(record) as f64;
-        asked[record.arrival.account] += cost;
+        let total_tokens = total_tokens(record) as f64;
+        demand[record.arrival.account] += total_tokens;
         if answered_in_time(scenario, record) {
-            got[record.arrival.account] += cost;
+            served[record.arrival.account] += total_tokens;
         }
     }
-    let fair = max_min(&asked, got.iter().sum());
-    let shortfall = |(got, fair): (&f64, &f64)| {
-        if *fair > 0.0 { (1.0 - got / fair).max(0.0) } else { 0.0 }
+    let fair = max_min_shares(&demand, served.iter().sum());
+    let shortfall = |(served, fair): (&f64, &f64)| {
+        if *fair > 0.0 { (1.0 - served / fair).max(0.0) } else { 0.0 }
     };
-    got.iter().zip(&fair).map(shortfall).fold(0.0, f64::max)
+    served.iter().zip(&fair).map(shortfall).fold(0.0, f64::max)
 }
 
-fn max_min(asked: &[f64], all: f64) -> Vec<f64> {
+fn max_min_shares(asked: &[f64], total: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..asked.len()).collect();
     order.sort_by(|a, b| asked[*a].total_cmp(&asked[*b]));
-    let mut left = all;
+    let mut remaining = total;
     let mut fair = vec![0.0; asked.len()];
     for (done, account) in order.iter().enumerate() {
-        let equal = left / (asked.len() - done) as f64;
+        let equal = remaining / (asked.len() - done) as f64;
         fair[*account] = asked[*account].min(equal);
-        left -= fair[*account];
+        remaining -= fair[*account];
     }
     fair
 }
--- a/crates/ringbend-bench/src/policies.rs
+++ b/crates/ringbend-bench/src/policies.rs
@@ -1,4 +1,4 @@
-//! The policies that can be compared.
+//! The policies that the benchmark compares, and how to build them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,53 +8,53 @@
 use ringbend_settings::configs::ChoiceKind;
 use ringbend_types::{Incarnation, InstanceId, Seed};
 
-/// A policy by name.
+/// A policy that can be selected on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// Round robin, retry on any error.
+    /// The naive router: round robin, with retries on any error.
     Naive,
-    /// A plain router with another way of choosing, but nothing else of Ringbend.
-    Simple(ChoiceKindOrd),
-    /// Ringbend as its defaults are.
+    /// The naive router with another selection method, without any other component of Ringbend.
+    Simple(OrderedChoiceKind),
+    /// Ringbend with its default settings.
     Ringbend,
-    /// Ringbend without one of its parts.
-    Without(Part),
+    /// Ringbend with one component disabled or replaced.
+    Without(Component),
 }
 
-/// A way of choosing, with an order for maps.
+/// A selection method that is ordered by its name, so that policies can be map keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ChoiceKindOrd(pub ChoiceKind);
+pub struct OrderedChoiceKind(pub ChoiceKind);
 
-impl PartialOrd for ChoiceKindOrd {
+impl PartialOrd for OrderedChoiceKind {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for ChoiceKindOrd {
+impl Ord for OrderedChoiceKind {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.as_str().cmp(other.0.as_str())
     }
 }
 
-/// Parts of Ringbend that can be switched off or changed.
+/// A component of Ringbend that a benchmark can disable or replace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
-    /// Several long prompts may be at one engine.
+pub enum Component {
+    /// No limit on the number of long prompts per engine.
     LongCap,
-    /// Two choices in place of the best prediction.
+    /// Power of two choices instead of the earliest predicted finish.
     TwoChoices,
-    /// Prefix affinity in place of the best prediction.
+    /// Prefix affinity instead of the earliest predicted finish.
     Affinity,
-    /// One attempt per request.
+    /// No retries: one attempt per request.
     Retries,
-    /// Retries without a budget.
+    /// Retries without a retry budget.
     Budget,
-    /// Waiting requests keep their priority.
+    /// No ageing: waiting requests keep their priority.
     Ageing,
 }
 
-impl Part {
+impl Component {
     const ALL: [Self; 6] = [
         Self::LongCap,
         Self::TwoChoices,
@@ -88,14 +88,14 @@
 }
 
 impl PolicyKind {
-    /// Changes a request's settings as this policy wants them.
+    /// Adjusts a request's settings for this policy.
     pub fn apply(self, settings: &mut EffectiveSettings) {
-        if let Self::Without(part) = self {
-            part.apply(settings);
+        if let Self::Without(component) = self {
+            component.apply(settings);
         }
     }
 
-    /// One instance's policy.
+    /// Builds the policy of one instance.
     pub fn build(
         self,
         instance: &InstanceId,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Whether the policy is Ringbend's, with shares of limits and all.
+    /// Whether this is Ringbend, complete or with one component changed, and not the naive router.
     pub fn is_ringbend(self) -> bool {
         matches!(self, Self::Ringbend | Self::Without(_))
     }
@@ -124,20 +124,21 @@
             Self::Naive => write!(f, "naive"),
             Self::Simple(choice) => write!(f, "simple-{}", choice.0),
             Self::Ringbend => write!(f, "ringbend"),
-            Self::Without(part) => write!(f, "ringbend-{}", part.as_str()),
+            Self::Without(component) => write!(f, "ringbend-{}", component.as_str()),
         }
     }
 }
 
-/// The text names no policy.
+/// The text is not the name of a policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParsePolicyError;
 
 impl fmt::Display for ParsePolicyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let parts = Part::ALL.map(|part| format!("ringbend-{}", part.as_str())).join(", ");
+        let components =
+            Component::ALL.map(|component| format!("ringbend-{}", component.as_str())).join(", ");
         let choices = ChoiceKind::ALL.map(|choice| format!("simple-{choice}")).join(", ");
-        write!(f, "expected one of naive, ringbend, {choices}, {parts}")
+        write!(f, "expected one of naive, ringbend, {choices}, {components}")
     }
 }
 
@@ -149,11 +150,11 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         if let Some(choice) = text.strip_prefix("simple-") {
             let choice = choice.parse().map_err(|_| ParsePolicyError)?;
-            return Ok(Self::Simple(ChoiceKindOrd(choice)));
+            return Ok(Self::Simple(OrderedChoiceKind(choice)));
         }
-        if let Some(part) = text.strip_prefix("ringbend-") {
-            let part = Part::ALL.into_iter().find(|p| p.as_str() == part);
-            return part.map(Self::Without).ok_or(ParsePolicyError);
+        if let Some(component) = text.strip_prefix("ringbend-") {
+            let component = Component::ALL.into_iter().find(|p| p.as_str() == component);
+            return component.map(Self::Without).ok_or(ParsePolicyError);
         }
         match text {
             "naive" => Ok(Self::Naive),
--- a/crates/ringbend-bench/src/scenario.rs
+++ b/crates/ringbend-bench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is offered, to how much, and what fails.
+//! Benchmark scenarios: offered load, capacity and injected faults.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,41 +9,43 @@
 use ringbend_models::EngineSpec;
 use ringbend_types::{Seed, Timestamp};
 
-/// Random stream of arrivals.
-const ARRIVALS: u64 = 11;
+/// Random number stream of the arrivals.
+const ARRIVAL_STREAM: u64 = 11;
 
-/// Samples from which the mean size of a request is taken.
+/// Number of samples used to estimate the mean prompt size.
 const MEAN_SAMPLES: u32 = 20_000;
 
-/// The scenarios.
+/// The available scenarios.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ScenarioName {
-    /// Drivers' short calls beside yearly reviews; 20 engines, 9 instances, 1.5 ms.
+    /// Drivers' short calls mixed with yearly reviews; 20 engines, 9 instances, 1.5 ms one-way
+    /// latency.
     PeachLine,
-    /// Quotes to portfolio checks, all with a customer waiting; 0.5 ms.
+    /// From quotes to portfolio checks, all interactive (a customer waits); 0.5 ms one-way latency.
     BlueMahoe,
-    /// Peach Line's mix at a load that is given.
+    /// The request mix of `PeachLine` above capacity; 1.5 times the capacity by default.
     Overload,
-    /// Prompts that need several engines at once, several waiting.
+    /// More prompts of up to 1,000,000 tokens, which need the memory of several engines at once, so
+    /// that several of them wait at the same time.
     Million,
-    /// Engines die and come back.
+    /// Engines crash and restart; one freezes.
     EngineDeath,
-    /// Load reports two seconds late.
+    /// Load reports are delayed by 2 s.
     StaleLoad,
-    /// All engines refuse for a while, and callers come back in step.
+    /// All engines refuse requests for a while, and the refused callers retry in lockstep.
     RetryStorm,
-    /// One account offers many times its share.
+    /// One account offers many times its fair share.
     NoisyAccount,
-    /// Instances die.
+    /// Instances crash; one pauses.
     InstanceLoss,
-    /// Half of the instances and engines cannot reach the other half.
+    /// A network partition separates half of the instances and engines from the other half.
     RegionCut,
-    /// Many prompts share prefixes, and engines lose their caches.
+    /// Many prompts share prefixes, and engines lose their prefix caches.
     CacheGaps,
 }
 
 impl ScenarioName {
-    /// All of them.
+    /// All scenarios, in declaration order.
     pub const ALL: [Self; 11] = [
         Self::PeachLine,
         Self::BlueMahoe,
@@ -58,7 +60,7 @@
         Self::CacheGaps,
     ];
 
-    /// The name on the command line.
+    /// Name on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::PeachLine => "peach-line",
@@ -82,7 +84,7 @@
     }
 }
 
-/// The text names no scenario.
+/// The text is not the name of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseScenarioError;
 
@@ -102,99 +104,101 @@
     }
 }
 
-/// Something that fails.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The engine and all it holds are gone; it is back, empty, after this time.
+    /// The engine crashes and loses its state; it restarts empty after this time.
     EngineDies(usize, Duration),
-    /// The engine accepts and does not answer for this time.
+    /// The engine accepts requests but makes no progress for this time.
     EngineFreezes(usize, Duration),
-    /// The engine takes no new work from now on; the instance list does not say so.
+    /// The engine refuses new work from now on, while the instance list still shows it as live.
     EngineLeaves(usize),
-    /// Every engine refuses new work for this time.
+    /// All engines refuse new work for this time.
     AllRefuse(Duration),
-    /// The instance is gone; its peers know after a while.
+    /// The instance crashes; its peers learn of it after a detection delay.
     InstanceDies(usize),
-    /// The instance does nothing for this time, then goes on.
+    /// The instance processes no events for this time, then continues.
     InstancePauses(usize, Duration),
-    /// The first half of instances and engines cannot reach the second half for this time.
+    /// A network partition separates the first half of the instances and engines from the second
+    /// half for this time.
     Cut(Duration),
-    /// Every engine forgets its prefix cache; nobody is told.
+    /// All engines lose their prefix caches without emitting cache events.
     CachesLost,
 }
 
-/// One kind of request.
+/// A request class and its share of the mix.
 #[derive(Debug, Clone)]
 pub struct ClassMix {
-    /// How many of a thousand requests are of this kind.
+    /// Share of this class, per 1,000 requests.
     pub per_mille: u32,
-    /// 0 goes first.
+    /// Scheduling priority; 0 is the highest.
     pub priority: u8,
-    /// Least and most prompt tokens; sizes are spread evenly over the logarithm.
+    /// Minimum and maximum prompt tokens; sizes are log-uniformly distributed.
     pub prompt: (u64, u64),
-    /// Least and most tokens generated.
+    /// Minimum and maximum generated tokens; log-uniformly distributed as well.
     pub output: (u64, u64),
-    /// Until the answer must have ended.
+    /// Time from arrival until the answer must be complete.
     pub deadline: Duration,
-    /// Whether it may be run again.
+    /// Whether a request may be executed more than once.
     pub repeatable: bool,
 }
 
-/// One request on its way.
+/// One request of the offered load.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When the caller sends it.
+    /// Time at which the caller sends it.
     pub at: Timestamp,
-    /// Which kind.
+    /// Index of the request class.
     pub class: usize,
-    /// Which account.
+    /// Index of the client account.
     pub account: usize,
-    /// Length of the prompt.
+    /// Prompt length in tokens.
     pub prompt: u64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output: u64,
-    /// Which of the shared prefixes it starts with.
+    /// Index of the shared prefix that the prompt starts with.
     pub prefix: u64,
-    /// Which instance the balancer takes.
+    /// Index of the instance that the load balancer picks.
     pub instance: usize,
 }
 
-/// Everything about a run but the policy.
+/// All parameters of a run except the policy and the seed.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: ScenarioName,
-    /// How many engines.
+    /// Number of engines.
     pub engines: usize,
-    /// What each engine can do.
+    /// Capacity and speed of each engine.
     pub spec: EngineSpec,
-    /// How many instances.
+    /// Number of instances.
     pub instances: usize,
-    /// One way between instances and engines.
+    /// One-way latency between instances and engines.
     pub latency: Duration,
-    /// One way between callers and instances.
+    /// One-way latency between callers and instances.
     pub caller_latency: Duration,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     pub duration: Duration,
-    /// Requests that arrive before this are not measured.
+    /// Requests that arrive within this time from the start are not measured.
     pub warm_up: Duration,
-    /// Offered prompt tokens against what the engines can prefill.
+    /// Offered prompt tokens as a fraction of what the engines can prefill.
     pub load: f64,
-    /// The kinds of requests.
+    /// Request classes.
     pub classes: Vec<ClassMix>,
     /// Relative demand of each account.
     pub accounts: Vec<f64>,
-    /// How many prefixes are shared among the prompts.
+    /// Number of distinct prefixes that the prompts share.
     pub prefixes: u64,
-    /// How often engines report.
+    /// Interval between the load reports of an engine.
     pub report_every: Duration,
-    /// How late reports are.
+    /// Delay of load reports.
     pub report_lag: Duration,
-    /// Part of the reports that get lost.
+    /// Fraction of load reports that are lost.
     pub report_loss: f64,
-    /// Refused callers come back together after exactly this time, this often.
+    /// Refused callers retry after exactly this time, without jitter, at most this many times. A
+    /// longer Retry-After takes precedence.
     pub come_back: Option<(Duration, u32)>,
-    /// What fails, and when.
+    /// Faults and their times.
     pub faults: Vec<(Timestamp, Fault)>,
 }
 
@@ -209,8 +213,9 @@
     ClassMix { per_mille, priority, prompt, output, deadline, repeatable: true }
 }
 
-/// Drivers, members at the machine, a quarter's sales logs, yearly reviews, counts.
-fn peach_classes() -> Vec<ClassMix> {
+/// Request mix of Peach Line: drivers, members at the machine, a quarter's sales logs, yearly
+/// reviews and non-repeatable counts.
+fn peach_line_classes() -> Vec<ClassMix> {
     let counts = ClassMix { repeatable: false, ..class(30, 1, (300, 900), (4, 16), 20) };
     vec![
         class(400, 0, (500, 2_000), (16, 64), 20),
@@ -222,8 +227,9 @@
     ]
 }
 
-/// Drafted quotes, contract packs, portfolio checks, all with a customer waiting, and quote saves.
-fn mahoe_classes() -> Vec<ClassMix> {
+/// Request mix of Blue Mahoe: drafted quotes, contract packs and portfolio checks, all interactive
+/// (a customer waits), and non-repeatable quote saves.
+fn blue_mahoe_classes() -> Vec<ClassMix> {
     let saves = ClassMix { repeatable: false, ..class(30, 3, (300, 900), (4, 16), 20) };
     vec![
         class(600, 3, (500, 3_000), (64, 256), 60),
@@ -234,13 +240,13 @@
     ]
 }
 
-/// Ten accounts, a few of them large.
-fn ten_accounts() -> Vec<f64> {
+/// Relative demand of ten accounts, a few of them large.
+fn account_weights() -> Vec<f64> {
     vec![30.0, 20.0, 15.0, 8.0, 7.0, 6.0, 5.0, 4.0, 3.0, 2.0]
 }
 
 impl Scenario {
-    /// The scenario of this name; `load` replaces its own load.
+    /// Creates a scenario; `load` overrides its default load.
     pub fn new(name: ScenarioName, load: Option<f64>) -> Self {
         let base = Self {
             name,
@@ -252,8 +258,8 @@
             duration: Duration::from_secs(120),
             warm_up: Duration::from_secs(20),
             load: load.unwrap_or(0.8),
-            classes: peach_classes(),
-            accounts: ten_accounts(),
+            classes: peach_line_classes(),
+            accounts: account_weights(),
             prefixes: 200,
             report_every: Duration::from_millis(200),
             report_lag: Duration::from_millis(200),
@@ -261,23 +267,23 @@
             come_back: None,
             faults: Vec::new(),
         };
-        base.special(load)
+        base.with_overrides(load)
     }
 
-    fn special(self, load: Option<f64>) -> Self {
+    fn with_overrides(self, load: Option<f64>) -> Self {
         let at = |seconds| Timestamp::from_millis(seconds * 1_000);
         let secs = Duration::from_secs;
         match self.name {
             ScenarioName::PeachLine => self,
             ScenarioName::BlueMahoe => Self {
-                classes: mahoe_classes(),
+                classes: blue_mahoe_classes(),
                 latency: Duration::from_micros(500),
                 caller_latency: Duration::from_millis(3),
                 ..self
             },
             ScenarioName::Overload => Self { load: load.unwrap_or(1.5), ..self },
             ScenarioName::Million => {
-                let mut classes = peach_classes();
+                let mut classes = peach_line_classes();
                 classes[0].per_mille = 392;
                 classes[5].per_mille = 10;
                 Self { classes, load: load.unwrap_or(0.7), duration: secs(240), ..self }
@@ -322,22 +328,23 @@
         }
     }
 
-    /// Prompt tokens that one engine prefills a second while it decodes.
-    fn engine_rate(&self) -> f64 {
+    /// Prompt tokens that one engine prefills per second while it decodes.
+    fn engine_prefill_rate(&self) -> f64 {
         let chunk = self.spec.step_tokens as f64;
         let prefill = chunk / self.spec.prefill_rate.0 as f64;
         chunk / (prefill + self.spec.decode_step.as_secs_f64())
     }
 
-    /// Prompt tokens that all engines prefill a second.
+    /// Prompt tokens that all engines together prefill per second.
     pub fn capacity(&self) -> f64 {
-        self.engine_rate() * self.engines as f64
+        self.engine_prefill_rate() * self.engines as f64
     }
 
-    /// All requests, the same for every policy.
+    /// Generates the requests, with exponential gaps between them. They depend on the seed only and
+    /// are the same for every policy.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
-        let mut rng = Seed(seed).rng(ARRIVALS);
-        let mean = self.mean_prompt(&mut rng);
+        let mut rng = Seed(seed).rng(ARRIVAL_STREAM);
+        let mean = self.mean_prompt_tokens(&mut rng);
         let per_second = self.load * self.capacity() / mean;
         let mut arrivals = Vec::new();
         let mut at = 0.0;
@@ -377,7 +384,7 @@
         0
     }
 
-    fn mean_prompt(&self, rng: &mut ChaCha8Rng) -> f64 {
+    fn mean_prompt_tokens(&self, rng: &mut ChaCha8Rng) -> f64 {
         let sample = |rng: &mut ChaCha8Rng| {
             let class = self.pick_class(rng);
             log_uniform(self.classes[class].prompt, rng) as f64
@@ -397,7 +404,7 @@
     weights.len() - 1
 }
 
-fn log_uniform((least, most): (u64, u64), rng: &mut ChaCha8Rng) -> u64 {
-    let (least, most) = (least as f64, most as f64);
-    (least * (most / least).powf(rng.random::<f64>())) as u64
+fn log_uniform((min, max): (u64, u64), rng: &mut ChaCha8Rng) -> u64 {
+    let (min, max) = (min as f64, max as f64);
+    (min * (max / min).powf(rng.random::<f64>())) as u64
 }
--- a/crates/ringbend-bench/src/shares.rs
+++ b/crates/ringbend-bench/src/shares.rs
@@ -1,4 +1,4 @@
-//! The sharing of an account's limit between instances, against how much was offered where.
+//! Benchmark of how instances share an account's rate limit, for different placements of the demand.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -16,48 +16,49 @@
 
 use crate::gossip::DATAGRAM_OVERHEAD;
 
-/// The limit, in tokens a second.
+/// Rate limit of the account, in tokens per second.
 const RATE: u64 = 100_000;
 
-/// Tokens of one request.
+/// Cost of one request, in tokens.
 const COST: u64 = 1_000;
 
-/// Offered over the limit, on all instances together.
-const OFFERED: f64 = 3.0;
+/// Offered load of all instances together, as a multiple of the limit.
+const OFFERED_LOAD: f64 = 3.0;
 
-/// One way between instances.
+/// One-way latency between instances.
 const LATENCY: Duration = Duration::from_micros(1_500);
 
-/// A step of the run.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(1);
 
-/// The length of a run.
+/// Duration of a run.
 const DURATION: Duration = Duration::from_secs(90);
 
-/// Nothing is measured before this: buckets begin full.
+/// Start of the measurement. Before this, the token buckets drain: they start full.
 const WARM_UP: Duration = Duration::from_secs(20);
 
-/// Use is looked at over windows of this length.
+/// Length of the sliding window over which usage is measured.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// How the limit is shared.
+/// Where the demand is, and which fault occurs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareScenario {
-    /// All demand at one instance.
+    /// All demand is at one instance.
     Skewed,
-    /// All demand, which moves to another instance every fifteen seconds.
+    /// All demand is at one instance, and moves to another one every 15 s.
     Moving,
-    /// Equal demand everywhere; the account's owner dies.
+    /// Equal demand at all instances; the instance that owns the account's limit crashes.
     OwnerLoss,
-    /// Equal demand everywhere; four instances cannot reach the other five for forty seconds.
+    /// Equal demand at all instances; a network partition separates four of nine instances from the
+    /// other five for 40 s.
     Cut,
 }
 
 impl ShareScenario {
-    /// All of them.
+    /// All scenarios, in declaration order.
     pub const ALL: [Self; 4] = [Self::Skewed, Self::Moving, Self::OwnerLoss, Self::Cut];
 
-    /// The name on the command line.
+    /// Name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Skewed => "skewed",
@@ -68,7 +69,7 @@
     }
 }
 
-/// The text names no way.
+/// The text is not the name of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseShareScenarioError;
 
@@ -88,45 +89,46 @@
     }
 }
 
-/// What was measured.
+/// Result of a run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ShareRun {
-    /// How the limit was shared.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// How many instances shared it.
+    /// Number of instances that share the limit.
     pub instances: usize,
-    /// With shares leased from an owner, or split equally.
+    /// `owner-leased` if instances lease shares from an owner, `equal-split` if they split the limit
+    /// equally.
     pub policy: &'static str,
-    /// The most used over any ten seconds beyond the rate, in percent of it.
+    /// Highest usage above the limit over any 10 s, in percent of the limit.
     pub overshoot_percent: f64,
-    /// The least used over any ten seconds below the rate, in percent of it.
+    /// Largest unused part of the limit over any 10 s, in percent of the limit.
     pub under_use_percent: f64,
-    /// Unused over the whole run, in percent.
+    /// Unused part of the limit over the whole measurement, in percent of the limit.
     pub mean_under_use_percent: f64,
-    /// Messages between instances a second.
+    /// Messages between instances per second.
     pub messages_per_s: f64,
-    /// Sent and received by an instance a second, for this one account, with the datagrams'
-    /// overhead.
+    /// Bytes that an instance sends and receives per second for this one account, including the
+    /// datagram overhead.
     pub bytes_per_s: f64,
 }
 
-enum Letter {
+enum InFlightMessage {
     Request(usize, GrantRequest),
     Reply(usize, GrantReply),
 }
 
-struct Run {
+struct ShareSimulation {
     scenario: ShareScenario,
     leased: bool,
     now: Timestamp,
     shares: Vec<LimitShares>,
     limits: Vec<Limits>,
     alive: Vec<bool>,
-    letters: VecDeque<(Timestamp, Letter)>,
+    in_flight: VecDeque<(Timestamp, InFlightMessage)>,
     n: usize,
     messages: u64,
     bytes: u64,
-    owed: Vec<f64>,
+    pending_demand: Vec<f64>,
     cfg: LimitsConfig,
 }
 
@@ -138,13 +140,14 @@
     format!("instance-{n}").parse().unwrap_or_else(|_| unreachable!("a valid instance"))
 }
 
-fn index(id: &InstanceId) -> usize {
+fn instance_index(id: &InstanceId) -> usize {
     id.as_str().trim_start_matches("instance-").parse().unwrap_or(0)
 }
 
-/// Measures one way, with shares leased from an owner or split equally.
+/// Runs one scenario. If `leased`, instances lease shares from an owner; otherwise they split the
+/// limit equally.
 pub fn measure_shares(scenario: ShareScenario, leased: bool, instances: usize) -> ShareRun {
-    let mut run = Run::new(scenario, leased, instances);
+    let mut run = ShareSimulation::new(scenario, leased, instances);
     let steps = DURATION.as_millis() / STEP.as_millis();
     let mut used = Vec::new();
     for _ in 0..steps {
@@ -155,7 +158,7 @@
     run.report(&used, seconds)
 }
 
-impl Run {
+impl ShareSimulation {
     fn new(scenario: ShareScenario, leased: bool, n: usize) -> Self {
         let shares = (0..n).map(|n| LimitShares::new(ShareConfig::default(), instance(n)));
         let cfg = LimitsConfig { tokens_per_s: RATE, burst_s: 1, ..LimitsConfig::default() };
@@ -166,23 +169,23 @@
             shares: shares.collect(),
             limits: (0..n).map(|_| Limits::default()).collect(),
             alive: vec![true; n],
-            letters: VecDeque::new(),
+            in_flight: VecDeque::new(),
             n,
             messages: 0,
             bytes: 0,
-            owed: vec![0.0; n],
+            pending_demand: vec![0.0; n],
             cfg,
         };
-        run.tell_peers();
+        run.update_peers();
         run
     }
 
-    fn tell_peers(&mut self) {
+    fn update_peers(&mut self) {
         for n in 0..self.n {
-            let live = (0..self.n).filter(|o| self.alive[*o] && self.same_side(n, *o));
+            let live = (0..self.n).filter(|o| self.alive[*o] && self.can_reach(n, *o));
             let live: Vec<InstanceId> = live.map(instance).collect();
             let event = ShareEvent::Peers { live, expected: self.n };
-            self.share(n, event);
+            self.handle_event(n, event);
             let equal = self.shares[n].equal_share();
             self.limits[n].set_default_share(equal);
         }
@@ -192,16 +195,16 @@
         self.now.as_secs_f64()
     }
 
-    fn is_cut(&self) -> bool {
+    fn is_partitioned(&self) -> bool {
         self.scenario == ShareScenario::Cut && (30.0..70.0).contains(&self.seconds())
     }
 
-    fn same_side(&self, one: usize, other: usize) -> bool {
-        !self.is_cut() || (one < self.n * 4 / 9) == (other < self.n * 4 / 9)
+    fn can_reach(&self, one: usize, other: usize) -> bool {
+        !self.is_partitioned() || (one < self.n * 4 / 9) == (other < self.n * 4 / 9)
     }
 
     fn demand(&self, n: usize) -> f64 {
-        let all = RATE as f64 * OFFERED;
+        let all = RATE as f64 * OFFERED_LOAD;
         match self.scenario {
             ShareScenario::Skewed => {
                 if n == 3 {
@@ -224,9 +227,9 @@
         }
     }
 
-    /// One step; returns the tokens used in it.
+    /// Runs one time step and returns the tokens used in it.
     fn step(&mut self) -> u64 {
-        self.faults();
+        self.apply_faults();
         self.deliver();
         let mut used = 0;
         for n in 0..self.n {
@@ -234,13 +237,13 @@
                 continue;
             }
             if self.leased && self.shares[n].next_wakeup() <= self.now {
-                self.share(n, ShareEvent::Tick);
+                self.handle_event(n, ShareEvent::Tick);
             }
-            self.owed[n] += self.demand(n) * STEP.as_secs_f64();
-            while self.owed[n] >= COST as f64 {
-                self.owed[n] -= COST as f64;
+            self.pending_demand[n] += self.demand(n) * STEP.as_secs_f64();
+            while self.pending_demand[n] >= COST as f64 {
+                self.pending_demand[n] -= COST as f64;
                 if self.leased {
-                    self.share(n, ShareEvent::Demand(account(), COST as f64));
+                    self.handle_event(n, ShareEvent::Demand(account(), COST as f64));
                 }
                 let cost = TokenCount(COST);
                 let verdict = self.limits[n].try_take(self.now, &account(), cost, &self.cfg);
@@ -253,54 +256,60 @@
         used
     }
 
-    fn faults(&mut self) {
+    fn apply_faults(&mut self) {
         let at = |seconds: u64| Timestamp::from_millis(seconds * 1_000);
         match self.scenario {
             ShareScenario::OwnerLoss => {
-                let owner = index(self.shares[0].owner(&account()));
+                let owner = instance_index(self.shares[0].owner(&account()));
                 if self.now == at(40) && self.alive[owner] {
                     self.alive[owner] = false;
                 }
                 if self.now == at(44) {
-                    self.tell_peers();
+                    self.update_peers();
                 }
             }
-            // Both sides take four seconds to notice the cut and its end.
-            ShareScenario::Cut if self.now == at(34) || self.now == at(74) => self.tell_peers(),
+            // Both sides take 4 s to detect the partition and its end.
+            ShareScenario::Cut if self.now == at(34) || self.now == at(74) => self.update_peers(),
             _ => {}
         }
     }
 
     fn deliver(&mut self) {
-        while let Some((due, _)) = self.letters.front() {
+        while let Some((due, _)) = self.in_flight.front() {
             if *due > self.now {
                 return;
             }
-            match self.letters.pop_front() {
-                Some((_, Letter::Request(to, request))) => {
-                    let from = index(&request.from);
-                    if self.alive[to] && self.same_side(from, to) {
-                        self.share(to, ShareEvent::Request(request));
+            match self.in_flight.pop_front() {
+                Some((_, InFlightMessage::Request(to, request))) => {
+                    let from = instance_index(&request.from);
+                    if self.alive[to] && self.can_reach(from, to) {
+                        self.handle_event(to, ShareEvent::Request(request));
                     }
                 }
-                Some((_, Letter::Reply(to, reply))) => self.share(to, ShareEvent::Reply(reply)),
+                Some((_, InFlightMessage::Reply(to, reply))) => {
+                    self.handle_event(to, ShareEvent::Reply(reply))
+                }
                 None => return,
             }
         }
     }
 
-    fn share(&mut self, n: usize, event: ShareEvent) {
+    fn handle_event(&mut self, n: usize, event: ShareEvent) {
         let due = self.now + LATENCY;
         for action in self.shares[n].handle(self.now, event) {
             match action {
                 ShareAction::SendRequest(owner, request) => {
                     let body = envelope::Body::GrantRequest((&request).into());
-                    self.count(body);
-                    self.letters.push_back((due, Letter::Request(index(&owner), request)));
+                    self.count_message(body);
+                    self.in_flight.push_back((
+                        due,
+                        InFlightMessage::Request(instance_index(&owner), request),
+                    ));
                 }
                 ShareAction::SendReply(to, reply) => {
-                    self.count(envelope::Body::GrantReply((&reply).into()));
-                    self.letters.push_back((due, Letter::Reply(index(&to), reply)));
+                    self.count_message(envelope::Body::GrantReply((&reply).into()));
+                    self.in_flight
+                        .push_back((due, InFlightMessage::Reply(instance_index(&to), reply)));
                 }
                 ShareAction::SetShare(account, share) => {
                     self.limits[n].set_share(account, Some(share));
@@ -309,7 +318,7 @@
         }
     }
 
-    fn count(&mut self, body: envelope::Body) {
+    fn count_message(&mut self, body: envelope::Body) {
         self.messages += 1;
         let envelope = Envelope { body: Some(body) };
         self.bytes += envelope.encoded_len() as u64 + DATAGRAM_OVERHEAD;
