--- a/crates/ringbend-bench/src/compare.rs
+++ b/crates/ringbend-bench/src/compare.rs
@@ -8,8 +8,8 @@
 
 use crate::metrics::{LONG_TOKENS, RunReport};
 use crate::policies::PolicyKind;
+use crate::routing::RoutingSimulation;
 use crate::scenario::{Scenario, ScenarioName};
-use crate::world::World;
 
 /// Parameters of a comparison.
 #[derive(Debug, Clone)]
@@ -72,9 +72,9 @@
 fn run(scenario: &Scenario, kind: PolicyKind, seed: u64) -> RunReport {
     let arrivals = scenario.arrivals(seed);
     let short_only = arrivals.iter().filter(|a| a.prompt < LONG_TOKENS).cloned().collect();
-    let baseline = World::new(scenario.clone(), kind, seed, short_only).run();
+    let baseline = RoutingSimulation::new(scenario.clone(), kind, seed, short_only).run();
     let baseline = RunReport::of(scenario, &baseline);
-    let mixed = World::new(scenario.clone(), kind, seed, arrivals).run();
+    let mixed = RoutingSimulation::new(scenario.clone(), kind, seed, arrivals).run();
     let mut report = RunReport::of(scenario, &mixed);
     let p99 = |report: &RunReport| report.ttft.get("1k").map_or(0.0, |bucket| bucket.p99_ms);
     report.short_slowdown_p99 = p99(&report) / p99(&baseline).max(1e-9);
--- a/crates/ringbend-bench/src/gossip.rs
+++ b/crates/ringbend-bench/src/gossip.rs
@@ -87,7 +87,7 @@
     now: Timestamp,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
     events: BTreeMap<u64, NetworkEvent>,
-    sequence: u64,
+    event_id: u64,
     rng: ChaCha8Rng,
     loss: f64,
     nodes: Vec<Membership>,
@@ -173,7 +173,7 @@
             now: Timestamp::default(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            sequence: 0,
+            event_id: 0,
             rng: Seed(cfg.seed).rng(NETWORK_STREAM),
             loss: cfg.loss,
             nodes: (0..n).map(node).collect(),
@@ -194,9 +194,9 @@
     }
 
     fn schedule_at(&mut self, at: Timestamp, network_event: NetworkEvent) {
-        self.sequence += 1;
-        self.events.insert(self.sequence, network_event);
-        self.queue.push(Reverse((at, self.sequence)));
+        self.event_id += 1;
+        self.events.insert(self.event_id, network_event);
+        self.queue.push(Reverse((at, self.event_id)));
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -207,13 +207,13 @@
 
     /// Runs until `done` returns true or the time reaches `end`.
     fn run_until(&mut self, end: Timestamp, done: impl Fn(&Self) -> bool) {
-        while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
+        while let Some(Reverse((at, event_id))) = self.queue.peek().copied() {
             if at > end || done(self) {
                 return;
             }
             self.queue.pop();
             self.now = at;
-            match self.events.remove(&sequence) {
+            match self.events.remove(&event_id) {
                 Some(NetworkEvent::Wake(node)) => {
                     let resumes_at = self.paused_until[node];
                     if resumes_at > self.now {
--- a/crates/ringbend-bench/src/lib.rs
+++ b/crates/ringbend-bench/src/lib.rs
@@ -8,15 +8,15 @@
 mod metrics;
 mod plot;
 mod policies;
+mod routing;
 mod scenario;
 mod shares;
-mod world;
 
 pub use compare::{CompareConfig, CompareReport, PolicyReport, compare};
 pub use gossip::{GossipConfig, GossipReport, measure_gossip};
 pub use metrics::{BucketReport, RunReport};
 pub use plot::{PlotError, plot};
 pub use policies::{ParsePolicyError, PolicyKind};
+pub use routing::{CallerEnd, RequestRecord, RoutingReport, RoutingSimulation};
 pub use scenario::{Arrival, Fault, ParseScenarioError, Scenario, ScenarioName};
 pub use shares::{ShareRun, ShareScenario, measure_shares};
-pub use world::{CallerEnd, RequestRecord, World, WorldReport};
--- a/crates/ringbend-bench/src/metrics.rs
+++ b/crates/ringbend-bench/src/metrics.rs
@@ -7,8 +7,8 @@
 use ringbend_types::{PromptBucket, Timestamp, TokenCount};
 use serde::Serialize;
 
+use crate::routing::{CallerEnd, RequestRecord, RoutingReport};
 use crate::scenario::Scenario;
-use crate::world::{CallerEnd, RequestRecord, WorldReport};
 
 /// Prompts of at least this many tokens count as long in the reports.
 pub(crate) const LONG_TOKENS: u64 = 50_000;
@@ -72,9 +72,9 @@
 
 impl RunReport {
     /// Computes the metrics of a run.
-    pub fn of(scenario: &Scenario, world: &WorldReport) -> Self {
+    pub fn of(scenario: &Scenario, routing_report: &RoutingReport) -> Self {
         let warm_up_time = scenario.warm_up;
-        let measured: Vec<&RequestRecord> = world
+        let measured: Vec<&RequestRecord> = routing_report
             .records
             .iter()
             .filter(|r| r.arrival.at.since(Timestamp::default()) >= warm_up_time)
@@ -87,7 +87,7 @@
         let window_end = Timestamp::default() + scenario.duration;
         let in_window =
             |r: &RequestRecord| r.end.is_some_and(|(at, _)| at >= window_start && at <= window_end);
-        let goodput = world.records.iter().filter(|r| in_time(r) && in_window(r));
+        let goodput = routing_report.records.iter().filter(|r| in_time(r) && in_window(r));
         let goodput: u64 = goodput.map(total_tokens).sum();
         let admitted = count(&|r| r.admitted);
         let attempts: u32 = measured.iter().map(|r| r.attempts).sum();
@@ -100,19 +100,19 @@
             failed: count(&|r| ended(r, |e| matches!(e, CallerEnd::Failed(..)))),
             rejected: count(&|r| ended(r, |e| matches!(e, CallerEnd::Rejected(_)))),
             instance_lost: count(&|r| ended(r, |e| e == CallerEnd::InstanceLost)),
-            open_at_end: world.open_at_end as f64,
+            open_at_end: routing_report.open_at_end as f64,
             goodput_tokens_per_s: goodput as f64 / seconds,
             long_dropped: count(&|r| {
                 let long = r.arrival.prompt >= LONG_TOKENS;
                 long && r.admitted && !ended(r, |e| e == CallerEnd::Answered)
             }),
             attempts_per_request: f64::from(attempts) / admitted.max(1.0),
-            came_back: measured.iter().map(|r| f64::from(r.came_back)).sum(),
+            came_back: measured.iter().map(|r| f64::from(r.caller_retries)).sum(),
             retry_after_spread: coefficient_of_variation(&measured),
             worst_shortfall: worst_shortfall(scenario, &measured),
-            overcommits: world.overcommits as f64,
+            overcommits: routing_report.overcommits as f64,
             double_runs: count(&|r| !scenario.classes[r.arrival.class].repeatable && r.runs > 1),
-            held_at_end: world.held_at_end.0 as f64,
+            held_at_end: routing_report.held_at_end.0 as f64,
             ttft: buckets.into_iter().collect(),
             short_slowdown_p99: 0.0,
         }
--- a/crates/ringbend-bench/src/world/engines.rs
+++ b/crates/ringbend-bench/src/routing/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a world: what is sent to them, their steps and their reports.
+//! The engine side of the simulation: submissions, steps, reservations and load reports.
 
 use std::time::Duration;
 
@@ -8,37 +8,41 @@
 use ringbend_policy::{AttemptEnd, Dispatch, Event, HeldMemory};
 use ringbend_types::{AttemptId, TokenCount};
 
-use super::names::{engine_index, parsed, service};
-use super::{ASSUMED_REPORT_AGE, Attempt, Engine, Happening, PREFIX_BLOCKS, PROGRESS_EVERY, World};
+use super::ids::{engine_index, parse_id, service};
+use super::{
+    ASSUMED_REPORT_AGE, Attempt, Engine, PREFIX_BLOCKS, PROGRESS_INTERVAL, RoutingSimulation,
+    SimulationEvent,
+};
 
-impl World {
+impl RoutingSimulation {
     pub(super) fn submit(&mut self, instance: usize, dispatch: &Dispatch) {
         let engine = engine_index(&dispatch.endpoint);
         let attempt = dispatch.attempt;
         let Some((record, _)) = self.requests.get(&dispatch.request).copied() else { return };
-        if !self.engines[engine].alive || !self.reaches(instance, engine) {
+        if !self.engines[engine].alive || !self.can_reach(instance, engine) {
             return self.end_attempt(instance, attempt, AttemptEnd::NotSent);
         }
-        if let Some(leaves_at) = self.engines[engine].leaves_at {
-            let late = self.now.since(leaves_at);
-            let known = self.report.late_to_leaving.unwrap_or_default();
-            self.report.late_to_leaving = Some(known.max(late));
+        if let Some(leaving_since) = self.engines[engine].leaving_since {
+            let elapsed = self.now.since(leaving_since);
+            let longest = self.report.last_dispatch_after_leave.unwrap_or_default();
+            self.report.last_dispatch_after_leave = Some(longest.max(elapsed));
         }
         if self.refusing {
             let end = AttemptEnd::Refused { retry_after: Some(Duration::from_secs(1)) };
             return self.end_attempt(instance, attempt, end);
         }
-        let submit = self.as_submit(record, dispatch);
-        let need = submit.prompt_tokens.0 + submit.max_tokens - submit.reserved_elsewhere.0;
+        let sequence_request = self.build_sequence_request(record, dispatch);
+        let kv_required = sequence_request.prompt_tokens.0 + sequence_request.max_tokens
+            - sequence_request.reserved_elsewhere.0;
         let report = self.engines[engine].model.report();
-        if report.kv_used.0 + need > report.kv_capacity.0 {
+        if report.kv_used.0 + kv_required > report.kv_capacity.0 {
             self.report.overcommits += 1;
         }
-        match self.engines[engine].model.submit(self.now, submit) {
+        match self.engines[engine].model.submit(self.now, sequence_request) {
             Ok(()) => {
                 let next_index = dispatch.resume_from;
                 self.attempts.insert(attempt, Attempt { instance, engine, next_index });
-                self.heard.insert(attempt, record);
+                self.accepted_attempts.insert(attempt, record);
                 if dispatch.resume_from == 0 {
                     self.records[record].runs += 1;
                 }
@@ -55,17 +59,21 @@
         }
     }
 
-    pub(super) fn as_submit(&self, record: usize, dispatch: &Dispatch) -> SequenceRequest {
+    pub(super) fn build_sequence_request(
+        &self,
+        record: usize,
+        dispatch: &Dispatch,
+    ) -> SequenceRequest {
         let arrival = &self.records[record].arrival;
         let blocks = (0..PREFIX_BLOCKS).map(|block| arrival.prefix * PREFIX_BLOCKS + block);
-        let fits = arrival.prompt / ringbend_models::BLOCK_TOKENS;
+        let full_blocks = arrival.prompt / ringbend_models::BLOCK_TOKENS;
         SequenceRequest {
             attempt: dispatch.attempt,
             prompt_tokens: TokenCount(arrival.prompt),
             max_tokens: arrival.output,
             resume_from: dispatch.resume_from,
             priority: dispatch.priority,
-            blocks: blocks.take(fits as usize).collect(),
+            blocks: blocks.take(full_blocks as usize).collect(),
             reserved_elsewhere: TokenCount(dispatch.held.iter().map(|h| h.tokens.0).sum()),
         }
     }
@@ -73,17 +81,20 @@
     pub(super) fn end_attempt(&mut self, instance: usize, attempt: AttemptId, end: AttemptEnd) {
         self.attempts.remove(&attempt);
         let event = Box::new(Event::Ended { attempt, end });
-        self.after(self.scenario.latency, Happening::ToPolicy { instance, event });
+        self.schedule_after(
+            self.scenario.latency,
+            SimulationEvent::DeliverToPolicy { instance, event },
+        );
     }
 
     pub(super) fn schedule_step(&mut self, engine: usize) {
         let frozen_until = self.engines[engine].frozen_until;
         if let Some(due) = self.engines[engine].model.step_ends_at() {
-            self.at(due.max(frozen_until), Happening::Step { engine });
+            self.schedule_at(due.max(frozen_until), SimulationEvent::Step { engine });
         }
     }
 
-    pub(super) fn step(&mut self, engine: usize) {
+    pub(super) fn run_step(&mut self, engine: usize) {
         if self.engines[engine].frozen_until > self.now {
             return;
         }
@@ -93,42 +104,51 @@
         }
         let outputs = self.engines[engine].model.advance(self.now);
         for output in outputs {
-            self.output(output);
+            self.forward_output(output);
         }
         self.schedule_step(engine);
     }
 
-    pub(super) fn output(&mut self, output: EngineOutput) {
+    pub(super) fn forward_output(&mut self, output: EngineOutput) {
         let Some(attempt) = self.attempts.get_mut(&output.attempt) else { return };
         let first = output.index == attempt.next_index;
         let tokens = output.index + 1;
         let (instance, id) = (attempt.instance, output.attempt);
-        if !self.reaches(instance, self.attempts[&id].engine) {
+        if !self.can_reach(instance, self.attempts[&id].engine) {
             return;
         }
-        if first || output.last || tokens.is_multiple_of(PROGRESS_EVERY) {
+        if first || output.last || tokens.is_multiple_of(PROGRESS_INTERVAL) {
             let event = Box::new(Event::Progress { attempt: id, tokens });
-            self.after(self.scenario.latency, Happening::ToPolicy { instance, event });
+            self.schedule_after(
+                self.scenario.latency,
+                SimulationEvent::DeliverToPolicy { instance, event },
+            );
         }
         if output.last {
             let event = Box::new(Event::Ended { attempt: id, end: AttemptEnd::Complete });
-            self.after(self.scenario.latency, Happening::ToPolicy { instance, event });
+            self.schedule_after(
+                self.scenario.latency,
+                SimulationEvent::DeliverToPolicy { instance, event },
+            );
             self.attempts.remove(&id);
         }
     }
 
     pub(super) fn reserve(&mut self, instance: usize, attempt: AttemptId, memory: HeldMemory) {
         let engine = engine_index(&memory.endpoint);
-        let reachable = self.engines[engine].alive && self.reaches(instance, engine);
+        let reachable = self.engines[engine].alive && self.can_reach(instance, engine);
         let reservation = Reservation { attempt, tokens: memory.tokens };
         let held = reachable && self.engines[engine].model.reserve(reservation).is_ok();
         let endpoint = memory.endpoint;
         let event = Box::new(Event::Reserved { attempt, endpoint, held });
-        self.after(self.scenario.latency, Happening::ToPolicy { instance, event });
+        self.schedule_after(
+            self.scenario.latency,
+            SimulationEvent::DeliverToPolicy { instance, event },
+        );
     }
 
     pub(super) fn send_reports(&mut self) {
-        self.after(self.scenario.report_every, Happening::Report);
+        self.schedule_after(self.scenario.report_every, SimulationEvent::Report);
         for engine in 0..self.engines.len() {
             if !self.engines[engine].alive || self.engines[engine].frozen_until > self.now {
                 continue;
@@ -137,14 +157,14 @@
             let endpoint = self.engines[engine].id.clone();
             for instance in 0..self.instances.len() {
                 let lost = self.rng.random_bool(self.scenario.report_loss);
-                if lost || !self.reaches(instance, engine) {
+                if lost || !self.can_reach(instance, engine) {
                     continue;
                 }
                 let arrives = self.now + self.scenario.report_lag + self.scenario.latency;
                 let at = arrives - ASSUMED_REPORT_AGE;
                 let (endpoint, report) = (endpoint.clone(), report.clone());
                 let event = Box::new(Event::Load { endpoint, report, at });
-                self.at(arrives, Happening::ToPolicy { instance, event });
+                self.schedule_at(arrives, SimulationEvent::DeliverToPolicy { instance, event });
             }
         }
     }
@@ -153,7 +173,7 @@
         let entry = |engine: &Engine| EndpointEntry {
             id: engine.id.clone(),
             address: std::net::SocketAddr::from(([127, 0, 0, 1], 1)),
-            data_centre: parsed("dc-1"),
+            data_centre: parse_id("dc-1"),
             kind: EndpointKind::Engine,
             service: service(),
             checks_fencing: true,
--- a/crates/ringbend-bench/src/world/faults.rs
+++ b/crates/ringbend-bench/src/routing/faults.rs
@@ -1,46 +1,46 @@
-//! What fails in a world.
+//! Fault injection in the simulation.
 
 use ringbend_models::{EngineModel, PrefixCache};
 use ringbend_platform::EndpointState;
 use ringbend_policy::{AttemptEnd, Event};
 use ringbend_types::{AttemptId, InstanceId, RequestId};
 
-use super::names::instance_index;
-use super::{CallerEnd, DEATH_KNOWN_AFTER, Happening, World};
+use super::ids::instance_index;
+use super::{CallerEnd, DETECTION_DELAY, RoutingSimulation, SimulationEvent};
 use crate::scenario::Fault;
 
-impl World {
-    pub(super) fn fail(&mut self, fault: Fault) {
+impl RoutingSimulation {
+    pub(super) fn inject_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::EngineDies(engine, away) => {
-                self.engine_dies(engine);
-                self.after(away, Happening::EngineBack { engine });
+            Fault::EngineCrash(engine, downtime) => {
+                self.crash_engine(engine);
+                self.schedule_after(downtime, SimulationEvent::RestartEngine { engine });
             }
-            Fault::EngineFreezes(engine, time) => {
+            Fault::EngineFreeze(engine, time) => {
                 self.engines[engine].frozen_until = self.now + time;
-                self.after(time, Happening::Thaw { engine });
+                self.schedule_after(time, SimulationEvent::Unfreeze { engine });
             }
-            Fault::EngineLeaves(engine) => {
+            Fault::EngineLeave(engine) => {
                 self.engines[engine].model.set_state(EndpointState::Leaving);
-                self.engines[engine].leaves_at = Some(self.now);
+                self.engines[engine].leaving_since = Some(self.now);
             }
-            Fault::AllRefuse(time) => {
+            Fault::RefuseAll(time) => {
                 self.refusing = true;
-                self.after(time, Happening::Refuse(false));
+                self.schedule_after(time, SimulationEvent::SetRefusing(false));
             }
-            Fault::InstanceDies(instance) => self.instance_dies(instance),
-            Fault::InstancePauses(instance, time) => {
-                // Pauses that overlap end with the later one; events keep their order.
+            Fault::InstanceCrash(instance) => self.crash_instance(instance),
+            Fault::InstancePause(instance, time) => {
+                // Overlapping pauses end with the later one; queued events keep their order.
                 let until = self.instances[instance].paused_until.max(self.now + time);
                 self.instances[instance].paused_until = until;
-                self.at(until, Happening::Resume { instance });
+                self.schedule_at(until, SimulationEvent::Resume { instance });
             }
-            Fault::Cut(time) => {
-                self.cut = true;
-                self.after(DEATH_KNOWN_AFTER, Happening::PeersKnow);
-                self.after(time, Happening::Mend);
+            Fault::Partition(time) => {
+                self.partitioned = true;
+                self.schedule_after(DETECTION_DELAY, SimulationEvent::UpdatePeers);
+                self.schedule_after(time, SimulationEvent::HealPartition);
             }
-            Fault::CachesLost => {
+            Fault::CacheLoss => {
                 for engine in &mut self.engines {
                     let blocks = engine.model.spec().cache_blocks;
                     engine.model.replace_cache(PrefixCache::new(blocks));
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(super) fn engine_dies(&mut self, engine: usize) {
+    pub(super) fn crash_engine(&mut self, engine: usize) {
         self.engines[engine].alive = false;
         self.engines[engine].model = EngineModel::new(self.scenario.spec.clone());
         let broken: Vec<(AttemptId, usize)> = self
@@ -63,9 +63,9 @@
         }
     }
 
-    /// The callers of a dead instance see their connections break, and so do the engines, which
-    /// end the attempts. Reservations stay until they are swept.
-    pub(super) fn instance_dies(&mut self, instance: usize) {
+    /// Callers and engines see their connections to the crashed instance break, and the engines
+    /// cancel its attempts. Its reservations remain until they are swept.
+    pub(super) fn crash_instance(&mut self, instance: usize) {
         self.instances[instance].alive = false;
         let at = self.now + self.scenario.caller_latency;
         let lost: Vec<RequestId> =
@@ -82,17 +82,17 @@
             .map(|(id, a)| (*id, a.engine))
             .collect();
         for (attempt, engine) in broken {
-            self.after(self.scenario.latency, Happening::Cancel { engine, attempt });
+            self.schedule_after(self.scenario.latency, SimulationEvent::Cancel { engine, attempt });
         }
-        self.after(DEATH_KNOWN_AFTER, Happening::PeersKnow);
+        self.schedule_after(DETECTION_DELAY, SimulationEvent::UpdatePeers);
     }
 
-    pub(super) fn tell_peers(&mut self) {
+    pub(super) fn update_peers(&mut self) {
         for instance in 0..self.instances.len() {
             let half = self.instances.len() / 2;
             let same_side = |other: &InstanceId| {
                 let other = instance_index(other);
-                !self.cut || (other < half) == (instance < half)
+                !self.partitioned || (other < half) == (instance < half)
             };
             let live = self.live_instances().into_iter().filter(same_side).collect();
             self.deliver(instance, Event::Peers(live));
@@ -103,16 +103,16 @@
         self.instances.iter().filter(|i| i.alive).map(|i| i.id.clone()).collect()
     }
 
-    pub(super) fn reaches(&self, instance: usize, engine: usize) -> bool {
+    pub(super) fn can_reach(&self, instance: usize, engine: usize) -> bool {
         let first_instance = instance < self.instances.len() / 2;
         let first_engine = engine < self.engines.len() / 2;
-        !self.cut || first_instance == first_engine
+        !self.partitioned || first_instance == first_engine
     }
 
-    /// The balancer leaves out instances that are gone.
-    pub(super) fn reachable_instance(&self, wanted: usize) -> usize {
+    /// Returns the first live instance from `wanted` on, as a load balancer skips crashed instances.
+    pub(super) fn live_instance_from(&self, wanted: usize) -> usize {
         let n = self.instances.len();
         let alive = |at: &usize| self.instances[*at].alive;
-        (0..n).map(|step| (wanted + step) % n).find(alive).unwrap_or(wanted)
+        (0..n).map(|offset| (wanted + offset) % n).find(alive).unwrap_or(wanted)
     }
 }
--- a/crates/ringbend-bench/src/world/names.rs
+++ b/crates/ringbend-bench/src/routing/ids.rs
@@ -1,21 +1,21 @@
-//! Names in a world, and their numbers.
+//! Conversions between the indexes and the identifiers of accounts, engines and instances.
 
 use ringbend_types::{ClientAccountId, EndpointId, InstanceId, ServiceName};
 
-pub(super) fn parsed<T: std::str::FromStr>(text: &str) -> T {
+pub(super) fn parse_id<T: std::str::FromStr>(text: &str) -> T {
     text.parse().unwrap_or_else(|_| unreachable!("{text} is a valid id"))
 }
 
 pub(super) fn service() -> ServiceName {
-    parsed("assistant")
+    parse_id("assistant")
 }
 
 pub(super) fn account_id(n: usize) -> ClientAccountId {
-    parsed(&format!("account-{n}"))
+    parse_id(&format!("account-{n}"))
 }
 
 pub(super) fn endpoint_id(n: usize) -> EndpointId {
-    parsed(&format!("engine-{n}"))
+    parse_id(&format!("engine-{n}"))
 }
 
 pub(super) fn engine_index(id: &EndpointId) -> usize {
--- a/crates/ringbend-bench/src/scenario.rs
+++ b/crates/ringbend-bench/src/scenario.rs
@@ -108,22 +108,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The engine crashes and loses its state; it restarts empty after this time.
-    EngineDies(usize, Duration),
+    EngineCrash(usize, Duration),
     /// The engine accepts requests but makes no progress for this time.
-    EngineFreezes(usize, Duration),
+    EngineFreeze(usize, Duration),
     /// The engine refuses new work from now on, while the instance list still shows it as live.
-    EngineLeaves(usize),
+    EngineLeave(usize),
     /// All engines refuse new work for this time.
-    AllRefuse(Duration),
+    RefuseAll(Duration),
     /// The instance crashes; its peers learn of it after a detection delay.
-    InstanceDies(usize),
+    InstanceCrash(usize),
     /// The instance processes no events for this time, then continues.
-    InstancePauses(usize, Duration),
+    InstancePause(usize, Duration),
     /// A network partition separates the first half of the instances and engines from the second
     /// half for this time.
-    Cut(Duration),
+    Partition(Duration),
     /// All engines lose their prefix caches without emitting cache events.
-    CachesLost,
+    CacheLoss,
 }
 
 /// A request class and its share of the mix.
@@ -197,7 +197,7 @@
     pub report_loss: f64,
     /// Refused callers retry after exactly this time, without jitter, at most this many times. A
     /// longer Retry-After takes precedence.
-    pub come_back: Option<(Duration, u32)>,
+    pub caller_retry: Option<(Duration, u32)>,
     /// Faults and their times.
     pub faults: Vec<(Timestamp, Fault)>,
 }
@@ -264,7 +264,7 @@
             report_every: Duration::from_millis(200),
             report_lag: Duration::from_millis(200),
             report_loss: 0.01,
-            come_back: None,
+            caller_retry: None,
             faults: Vec::new(),
         };
         base.with_overrides(load)
@@ -289,15 +289,15 @@
                 Self { classes, load: load.unwrap_or(0.7), duration: secs(240), ..self }
             }
             ScenarioName::EngineDeath => {
-                let dies = |n: usize| (at(30 + 8 * n as u64), Fault::EngineDies(n, secs(20)));
+                let dies = |n: usize| (at(30 + 8 * n as u64), Fault::EngineCrash(n, secs(20)));
                 let mut faults: Vec<_> = (0..8).map(dies).collect();
-                faults.push((at(50), Fault::EngineFreezes(12, secs(15))));
+                faults.push((at(50), Fault::EngineFreeze(12, secs(15))));
                 Self { faults, load: load.unwrap_or(0.6), ..self }
             }
             ScenarioName::StaleLoad => Self { report_lag: secs(2), ..self },
             ScenarioName::RetryStorm => Self {
-                faults: vec![(at(40), Fault::AllRefuse(secs(5)))],
-                come_back: Some((secs(1), 8)),
+                faults: vec![(at(40), Fault::RefuseAll(secs(5)))],
+                caller_retry: Some((secs(1), 8)),
                 load: load.unwrap_or(0.7),
                 ..self
             },
@@ -308,19 +308,19 @@
             }
             ScenarioName::InstanceLoss => {
                 let faults = vec![
-                    (at(40), Fault::InstanceDies(1)),
-                    (at(55), Fault::InstanceDies(4)),
-                    (at(60), Fault::InstancePauses(6, secs(20))),
+                    (at(40), Fault::InstanceCrash(1)),
+                    (at(55), Fault::InstanceCrash(4)),
+                    (at(60), Fault::InstancePause(6, secs(20))),
                 ];
                 Self { faults, load: load.unwrap_or(0.7), ..self }
             }
             ScenarioName::RegionCut => Self {
-                faults: vec![(at(40), Fault::Cut(secs(40)))],
+                faults: vec![(at(40), Fault::Partition(secs(40)))],
                 load: load.unwrap_or(0.6),
                 ..self
             },
             ScenarioName::CacheGaps => Self {
-                faults: vec![(at(50), Fault::CachesLost), (at(80), Fault::CachesLost)],
+                faults: vec![(at(50), Fault::CacheLoss), (at(80), Fault::CacheLoss)],
                 prefixes: 40,
                 report_loss: 0.05,
                 ..self
--- a/crates/ringbend-bench/tests/bars.rs
+++ b/crates/ringbend-bench/tests/bars.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ringbend_bench::{
-    PolicyKind, RunReport, Scenario, ScenarioName, ShareScenario, World, WorldReport,
+    PolicyKind, RoutingReport, RoutingSimulation, RunReport, Scenario, ScenarioName, ShareScenario,
     measure_shares,
 };
 
@@ -15,13 +15,13 @@
     scenario
 }
 
-fn run(scenario: &Scenario, kind: PolicyKind, without_long: bool) -> (RunReport, WorldReport) {
+fn run(scenario: &Scenario, kind: PolicyKind, without_long: bool) -> (RunReport, RoutingReport) {
     let mut arrivals = scenario.arrivals(3);
     if without_long {
         arrivals.retain(|a| a.prompt < 50_000);
     }
-    let world = World::new(scenario.clone(), kind, 3, arrivals).run();
-    (RunReport::of(scenario, &world), world)
+    let routing_report = RoutingSimulation::new(scenario.clone(), kind, 3, arrivals).run();
+    (RunReport::of(scenario, &routing_report), routing_report)
 }
 
 fn short_p99(report: &RunReport) -> f64 {
@@ -43,8 +43,8 @@
 #[test]
 fn every_request_ends_and_no_admitted_long_one_is_dropped() {
     let scenario = scenario(ScenarioName::Overload, Some(1.5));
-    let (report, world) = run(&scenario, PolicyKind::Ringbend, false);
-    assert_eq!((world.open_at_end, report.long_dropped), (0, 0.0));
+    let (report, routing_report) = run(&scenario, PolicyKind::Ringbend, false);
+    assert_eq!((routing_report.open_at_end, report.long_dropped), (0, 0.0));
     assert_eq!(report.requests, report.admitted + report.rejected);
     let (naive, _) = run(&scenario, PolicyKind::Naive, false);
     assert!(naive.long_dropped > 0.0);
@@ -63,9 +63,12 @@
 #[test]
 fn what_must_not_be_repeated_runs_once_though_engines_die() {
     let scenario = scenario(ScenarioName::EngineDeath, None);
-    let (report, world) = run(&scenario, PolicyKind::Ringbend, false);
+    let (report, routing_report) = run(&scenario, PolicyKind::Ringbend, false);
     assert_eq!(report.double_runs, 0.0);
-    assert!(world.records.iter().all(|r| r.disorder == 0), "a token came twice");
+    assert!(
+        routing_report.records.iter().all(|r| r.out_of_order_events == 0),
+        "a token came twice"
+    );
     let (naive, _) = run(&scenario, PolicyKind::Naive, false);
     assert!(naive.double_runs > 0.0);
 }
@@ -73,9 +76,9 @@
 #[test]
 fn no_engine_keeps_memory_after_the_last_answer() {
     for name in [ScenarioName::Million, ScenarioName::EngineDeath, ScenarioName::RegionCut] {
-        let (report, world) = run(&scenario(name, None), PolicyKind::Ringbend, false);
+        let (report, routing_report) = run(&scenario(name, None), PolicyKind::Ringbend, false);
         assert_eq!(report.held_at_end, 0.0, "{name}");
-        assert!(world.peak_kv_part <= 1.0, "{name}");
+        assert!(routing_report.peak_kv_ratio <= 1.0, "{name}");
     }
 }
 
--- a/crates/ringbend-bench/tests/combined.rs
+++ b/crates/ringbend-bench/tests/combined.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use rand::Rng;
-use ringbend_bench::{CallerEnd, Fault, PolicyKind, Scenario, ScenarioName, World, WorldReport};
+use ringbend_bench::{
+    CallerEnd, Fault, PolicyKind, RoutingReport, RoutingSimulation, Scenario, ScenarioName,
+};
 use ringbend_types::{Seed, Timestamp};
 
 /// Schedules walked.
@@ -24,22 +26,22 @@
             let engine = rng.random_range(0..6);
             let instance = rng.random_range(0..4);
             let fault = match rng.random_range(0..8) {
-                0 | 1 => Fault::EngineDies(engine, time),
-                2 | 3 => Fault::EngineFreezes(engine, time),
-                4 => Fault::AllRefuse(time),
-                5 => Fault::InstancePauses(instance, time),
-                6 => Fault::Cut(time),
-                _ => Fault::CachesLost,
+                0 | 1 => Fault::EngineCrash(engine, time),
+                2 | 3 => Fault::EngineFreeze(engine, time),
+                4 => Fault::RefuseAll(time),
+                5 => Fault::InstancePause(instance, time),
+                6 => Fault::Partition(time),
+                _ => Fault::CacheLoss,
             };
             faults.push((at, fault));
         }
     }
-    faults.push((Timestamp::from_millis(30_000), Fault::EngineLeaves(5)));
+    faults.push((Timestamp::from_millis(30_000), Fault::EngineLeave(5)));
     faults.sort_by_key(|(at, _)| *at);
     faults
 }
 
-fn run(seed: u64, kind: PolicyKind) -> (Scenario, WorldReport) {
+fn run(seed: u64, kind: PolicyKind) -> (Scenario, RoutingReport) {
     let mut scenario = Scenario::new(ScenarioName::Million, Some(0.5));
     scenario.engines = 6;
     scenario.instances = 4;
@@ -49,31 +51,31 @@
     scenario.classes[1].per_mille = 400;
     scenario.faults = schedule(seed);
     let arrivals = scenario.arrivals(seed);
-    let report = World::new(scenario.clone(), kind, seed, arrivals).run();
+    let report = RoutingSimulation::new(scenario.clone(), kind, seed, arrivals).run();
     (scenario, report)
 }
 
 /// What does not hold in a run.
-fn broken(scenario: &Scenario, world: &WorldReport) -> Vec<String> {
+fn broken(scenario: &Scenario, routing_report: &RoutingReport) -> Vec<String> {
     let mut broken = Vec::new();
-    if world.open_at_end > 0 {
-        broken.push(format!("{} requests never ended", world.open_at_end));
+    if routing_report.open_at_end > 0 {
+        broken.push(format!("{} requests never ended", routing_report.open_at_end));
     }
-    if world.held_at_end.0 > 0 {
-        broken.push(format!("{} held at the end", world.held_at_end));
+    if routing_report.held_at_end.0 > 0 {
+        broken.push(format!("{} held at the end", routing_report.held_at_end));
     }
-    if world.peak_kv_part > 1.0 {
-        broken.push(format!("an engine held {} of its memory", world.peak_kv_part));
+    if routing_report.peak_kv_ratio > 1.0 {
+        broken.push(format!("an engine held {} of its memory", routing_report.peak_kv_ratio));
     }
-    for record in &world.records {
+    for record in &routing_report.records {
         let repeatable = scenario.classes[record.arrival.class].repeatable;
         if !repeatable && record.runs > 1 {
             broken.push(format!("ran {} times: {record:?}", record.runs));
         }
-        if record.disorder > 0 {
+        if record.out_of_order_events > 0 {
             broken.push(format!("a token came twice: {record:?}"));
         }
-        let whole = record.delivered == record.arrival.output;
+        let whole = record.delivered_tokens == record.arrival.output;
         if record.end.is_some_and(|(_, end)| end == CallerEnd::Answered) && !whole {
             broken.push(format!("answered without the whole answer: {record:?}"));
         }
@@ -90,8 +92,8 @@
 #[test]
 fn nothing_breaks_under_faults_two_at_a_time() {
     for seed in 1..=SEEDS {
-        let (scenario, world) = run(seed, PolicyKind::Ringbend);
-        let broken = broken(&scenario, &world);
+        let (scenario, routing_report) = run(seed, PolicyKind::Ringbend);
+        let broken = broken(&scenario, &routing_report);
         assert!(broken.is_empty(), "seed {seed}, {:?}: {:?}", scenario.faults, broken.first());
     }
 }
@@ -99,8 +101,8 @@
 #[test]
 fn the_naive_router_breaks_under_the_same_faults() {
     let twice = (1..=SEEDS).any(|seed| {
-        let (scenario, world) = run(seed, PolicyKind::Naive);
-        broken(&scenario, &world).iter().any(|b| b.starts_with("ran "))
+        let (scenario, routing_report) = run(seed, PolicyKind::Naive);
+        broken(&scenario, &routing_report).iter().any(|b| b.starts_with("ran "))
     });
     assert!(twice, "the naive router ran nothing twice");
 }
--- a/crates/ringbend-bench/tests/repeatable.rs
+++ b/crates/ringbend-bench/tests/repeatable.rs
@@ -1,7 +1,8 @@
 //! The same seed gives the same bytes.
 
 use ringbend_bench::{
-    CompareConfig, GossipConfig, PolicyKind, Scenario, ScenarioName, World, compare, measure_gossip,
+    CompareConfig, GossipConfig, PolicyKind, RoutingSimulation, Scenario, ScenarioName, compare,
+    measure_gossip,
 };
 
 #[test]
@@ -30,8 +31,9 @@
         let mut scenario = Scenario::new(name, Some(0.1));
         scenario.faults.retain(|(at, _)| *at < ringbend_types::Timestamp::from_millis(60_000));
         let arrivals = scenario.arrivals(1);
-        let world = World::new(scenario, PolicyKind::Ringbend, 1, arrivals).run();
-        assert_eq!(world.open_at_end, 0, "{name}");
+        let routing_report =
+            RoutingSimulation::new(scenario, PolicyKind::Ringbend, 1, arrivals).run();
+        assert_eq!(routing_report.open_at_end, 0, "{name}");
     }
 }
 
