--- a/crates/ringbend-bench/tests/bars.rs
+++ b/crates/ringbend-bench/tests/acceptance.rs
@@ -1,5 +1,6 @@
-//! The policy's bars in virtual time, each with the naive router's figure beside it. Runs are
-//! short, so that a debug build stays quick; `docs/design/routing.md` has the long ones.
+//! Acceptance thresholds of the routing policy in simulated time. Most tests also run the naive
+//! router, to show that the scenario exposes the problem. Runs are short, so that the tests stay
+//! fast in a debug build; `docs/design/routing.md` has the results of long runs.
 
 use std::time::Duration;
 
@@ -29,19 +30,19 @@
 }
 
 #[test]
-fn short_requests_stay_fast_beside_long_ones() {
+fn long_prompts_do_not_slow_down_short_requests() {
     let scenario = scenario(ScenarioName::PeachLine, None);
     let slowdown = |kind| {
-        let beside = short_p99(&run(&scenario, kind, false).0);
-        beside / short_p99(&run(&scenario, kind, true).0)
+        let mixed = short_p99(&run(&scenario, kind, false).0);
+        mixed / short_p99(&run(&scenario, kind, true).0)
     };
     let (naive, ringbend) = (slowdown(PolicyKind::Naive), slowdown(PolicyKind::Ringbend));
     assert!(ringbend <= 1.3, "{ringbend:.2}");
-    assert!(naive > 5.0, "the naive router was only {naive:.2} times slower");
+    assert!(naive > 5.0, "the naive router slowed short requests down only {naive:.2} times");
 }
 
 #[test]
-fn every_request_ends_and_no_admitted_long_one_is_dropped() {
+fn under_overload_every_request_ends_and_no_admitted_long_request_is_dropped() {
     let scenario = scenario(ScenarioName::Overload, Some(1.5));
     let (report, routing_report) = run(&scenario, PolicyKind::Ringbend, false);
     assert_eq!((routing_report.open_at_end, report.long_dropped), (0, 0.0));
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn no_long_request_is_dropped_while_engines_die_or_regions_are_cut() {
+fn no_long_request_is_dropped_during_engine_crashes_or_a_partition() {
     for name in [ScenarioName::EngineDeath, ScenarioName::RegionCut] {
         let (report, _) = run(&scenario(name, None), PolicyKind::Ringbend, false);
         assert_eq!(report.long_dropped, 0.0, "{name}");
@@ -61,20 +62,20 @@
 }
 
 #[test]
-fn what_must_not_be_repeated_runs_once_though_engines_die() {
+fn non_repeatable_requests_run_at_most_once_despite_engine_crashes() {
     let scenario = scenario(ScenarioName::EngineDeath, None);
     let (report, routing_report) = run(&scenario, PolicyKind::Ringbend, false);
     assert_eq!(report.double_runs, 0.0);
     assert!(
         routing_report.records.iter().all(|r| r.out_of_order_events == 0),
-        "a token came twice"
+        "tokens were repeated or out of order"
     );
     let (naive, _) = run(&scenario, PolicyKind::Naive, false);
     assert!(naive.double_runs > 0.0);
 }
 
 #[test]
-fn no_engine_keeps_memory_after_the_last_answer() {
+fn engines_hold_no_kv_memory_after_the_last_answer() {
     for name in [ScenarioName::Million, ScenarioName::EngineDeath, ScenarioName::RegionCut] {
         let (report, routing_report) = run(&scenario(name, None), PolicyKind::Ringbend, false);
         assert_eq!(report.held_at_end, 0.0, "{name}");
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn prompts_of_a_million_tokens_are_answered_several_at_a_time() {
+fn prompts_of_a_million_tokens_are_answered() {
     let scenario = scenario(ScenarioName::Million, None);
     let (report, _) = run(&scenario, PolicyKind::Ringbend, false);
     assert!(report.ttft["1m"].n >= 3.0, "{:?}", report.ttft["1m"]);
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn callers_in_step_do_not_keep_the_storm_going() {
+fn callers_that_retry_in_lockstep_do_not_sustain_a_retry_storm() {
     let scenario = scenario(ScenarioName::RetryStorm, None);
     let (report, _) = run(&scenario, PolicyKind::Ringbend, false);
     let (naive, _) = run(&scenario, PolicyKind::Naive, false);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_noisy_account_does_not_push_the_others_out() {
+fn a_noisy_account_does_not_starve_the_others() {
     let scenario = scenario(ScenarioName::NoisyAccount, None);
     let (report, _) = run(&scenario, PolicyKind::Ringbend, false);
     let (naive, _) = run(&scenario, PolicyKind::Naive, false);
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_limit_is_neither_overrun_nor_left_unused() {
+fn a_shared_limit_is_neither_exceeded_nor_left_unused() {
     for scenario in ShareScenario::ALL {
         let run = measure_shares(scenario, true, 9);
         assert!(run.overshoot_percent <= 10.0, "{run:?}");
--- a/crates/ringbend-bench/tests/combined.rs
+++ b/crates/ringbend-bench/tests/combined.rs
@@ -1,5 +1,5 @@
-//! Faults two and more at a time, from a seeded schedule. A seed that fails prints itself and
-//! becomes a test of its own.
+//! Simultaneous faults from seeded random schedules. A failing seed is printed, and is then kept as
+//! a test of its own.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 };
 use ringbend_types::{Seed, Timestamp};
 
-/// Schedules walked.
+/// Number of schedules to run.
 const SEEDS: u64 = 24;
 
-/// Faults of one schedule.
+/// Number of random faults in a schedule.
 const FAULTS: usize = 8;
 
 fn schedule(seed: u64) -> Vec<(Timestamp, Fault)> {
     let mut rng = Seed(seed).rng(99);
     let mut faults = Vec::new();
     for _ in 0..FAULTS / 2 {
-        // Two at the same moment.
+        // Two faults at the same time.
         let at = Timestamp::from_millis(rng.random_range(10_000..50_000));
         for _ in 0..2 {
             let time = Duration::from_millis(rng.random_range(500..15_000));
@@ -47,7 +47,7 @@
     scenario.instances = 4;
     scenario.duration = Duration::from_secs(60);
     scenario.warm_up = Duration::ZERO;
-    // Many requests that must not be repeated.
+    // A large share of non-repeatable requests.
     scenario.classes[1].per_mille = 400;
     scenario.faults = schedule(seed);
     let arrivals = scenario.arrivals(seed);
@@ -55,54 +55,61 @@
     (scenario, report)
 }
 
-/// What does not hold in a run.
-fn broken(scenario: &Scenario, routing_report: &RoutingReport) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Describes each invariant that a run violates.
+fn violations(scenario: &Scenario, routing_report: &RoutingReport) -> Vec<String> {
+    let mut violations = Vec::new();
     if routing_report.open_at_end > 0 {
-        broken.push(format!("{} requests never ended", routing_report.open_at_end));
+        violations.push(format!("{} requests did not end", routing_report.open_at_end));
     }
     if routing_report.held_at_end.0 > 0 {
-        broken.push(format!("{} held at the end", routing_report.held_at_end));
+        violations
+            .push(format!("{} of KV memory still held at the end", routing_report.held_at_end));
     }
     if routing_report.peak_kv_ratio > 1.0 {
-        broken.push(format!("an engine held {} of its memory", routing_report.peak_kv_ratio));
+        violations
+            .push(format!("an engine held {} times its KV capacity", routing_report.peak_kv_ratio));
     }
     for record in &routing_report.records {
         let repeatable = scenario.classes[record.arrival.class].repeatable;
         if !repeatable && record.runs > 1 {
-            broken.push(format!("ran {} times: {record:?}", record.runs));
+            violations.push(format!("ran {} times: {record:?}", record.runs));
         }
         if record.out_of_order_events > 0 {
-            broken.push(format!("a token came twice: {record:?}"));
+            violations.push(format!("tokens were repeated or out of order: {record:?}"));
         }
-        let whole = record.delivered_tokens == record.arrival.output;
-        if record.end.is_some_and(|(_, end)| end == CallerEnd::Answered) && !whole {
-            broken.push(format!("answered without the whole answer: {record:?}"));
+        let is_complete = record.delivered_tokens == record.arrival.output;
+        if record.end.is_some_and(|(_, end)| end == CallerEnd::Answered) && !is_complete {
+            violations.push(format!("answered, but the answer is incomplete: {record:?}"));
         }
         let deadline = record.arrival.at + scenario.classes[record.arrival.class].deadline;
-        // A pause of the instance itself, of 15 s at most, may end after the deadline.
-        let latest = deadline + Duration::from_secs(16);
-        if record.end.is_some_and(|(at, _)| at > latest) {
-            broken.push(format!("ended late: {record:?}"));
+        // The instance itself may pause for up to 15 s, past the deadline.
+        let latest_end = deadline + Duration::from_secs(16);
+        if record.end.is_some_and(|(at, _)| at > latest_end) {
+            violations.push(format!("ended after its deadline: {record:?}"));
         }
     }
-    broken
+    violations
 }
 
 #[test]
-fn nothing_breaks_under_faults_two_at_a_time() {
+fn ringbend_keeps_its_invariants_under_simultaneous_faults() {
     for seed in 1..=SEEDS {
         let (scenario, routing_report) = run(seed, PolicyKind::Ringbend);
-        let broken = broken(&scenario, &routing_report);
-        assert!(broken.is_empty(), "seed {seed}, {:?}: {:?}", scenario.faults, broken.first());
+        let violations = violations(&scenario, &routing_report);
+        assert!(
+            violations.is_empty(),
+            "seed {seed}, {:?}: {:?}",
+            scenario.faults,
+            violations.first()
+        );
     }
 }
 
 #[test]
-fn the_naive_router_breaks_under_the_same_faults() {
-    let twice = (1..=SEEDS).any(|seed| {
+fn the_naive_router_repeats_requests_under_the_same_faults() {
+    let repeated = (1..=SEEDS).any(|seed| {
         let (scenario, routing_report) = run(seed, PolicyKind::Naive);
-        broken(&scenario, &routing_report).iter().any(|b| b.starts_with("ran "))
+        violations(&scenario, &routing_report).iter().any(|b| b.starts_with("ran "))
     });
-    assert!(twice, "the naive router ran nothing twice");
+    assert!(repeated, "the naive router ran no non-repeatable request twice");
 }
--- a/crates/ringbend-bench/tests/repeatable.rs
+++ b/crates/ringbend-bench/tests/repeatable.rs
@@ -1,4 +1,4 @@
-//! The same seed gives the same bytes.
+//! Runs are deterministic: the same seed gives a byte-identical report.
 
 use ringbend_bench::{
     CompareConfig, GossipConfig, PolicyKind, RoutingSimulation, Scenario, ScenarioName, compare,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn two_comparisons_give_identical_bytes() {
+fn two_comparisons_with_the_same_seeds_are_identical() {
     let cfg = CompareConfig {
         scenario: ScenarioName::EngineDeath,
         load: Some(0.2),
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn two_gossip_runs_give_identical_bytes() {
+fn two_gossip_runs_with_the_same_seed_are_identical() {
     let cfg = GossipConfig { instances: 16, loss: 0.05, seed: 3, processor_time: false };
     let run = || serde_json::to_string(&measure_gossip(&cfg)).unwrap();
     assert_eq!(run(), run());
 }
 
 #[test]
-fn every_scenario_runs_to_its_end() {
+fn every_request_ends_in_every_scenario() {
     for name in ScenarioName::ALL {
         let mut scenario = Scenario::new(name, Some(0.1));
         scenario.faults.retain(|(at, _)| *at < ringbend_types::Timestamp::from_millis(60_000));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn gossip_at_sixty_four_instances_keeps_its_budget() {
+fn gossip_at_sixty_four_instances_meets_its_bandwidth_and_propagation_limits() {
     let cfg = GossipConfig { instances: 64, loss: 0.05, seed: 1, processor_time: false };
     let report = measure_gossip(&cfg);
     assert!(report.bytes_per_s < 16_000.0, "{report:?}");
