--- a/crates/ringbend-bench/src/gossip.rs
+++ b/crates/ringbend-bench/src/gossip.rs
@@ -72,7 +72,8 @@
     pub endpoint_leaving_known_s: f64,
     /// Times that an instance declared a live one dead while all joined at once.
     pub false_deaths_joining: u64,
-    /// Times that an instance declared a live one dead after that, while one paused for 1 s.
+    /// Times that an instance declared a live one dead after that. One instance pauses for 1 s in
+    /// this time.
     pub false_deaths: u64,
     /// Suspicions that live instances refuted.
     pub refuted: u64,
@@ -103,38 +104,39 @@
 
 /// Runs the benchmark at one number of instances.
 pub fn measure_gossip(cfg: &GossipConfig) -> GossipReport {
-    let mut net = GossipSimulation::new(cfg);
-    net.run_for(CONVERGENCE_TIME);
-    let false_deaths_joining = std::mem::take(&mut net.false_deaths);
-    net.bytes = 0;
-    net.messages = 0;
-    net.cpu_time = cfg.processor_time.then_some(Duration::ZERO);
-    net.run_for(MEASUREMENT_TIME);
+    let mut simulation = GossipSimulation::new(cfg);
+    simulation.run_for(CONVERGENCE_TIME);
+    let false_deaths_joining = std::mem::take(&mut simulation.false_deaths);
+    simulation.bytes = 0;
+    simulation.messages = 0;
+    simulation.cpu_time = cfg.processor_time.then_some(Duration::ZERO);
+    simulation.run_for(MEASUREMENT_TIME);
     let per_instance = MEASUREMENT_TIME.as_secs_f64() * cfg.instances as f64;
     // Each byte is sent by one instance and received by another.
-    let bytes_per_s = 2.0 * net.bytes as f64 / per_instance;
-    let messages_per_s = 2.0 * net.messages as f64 / per_instance;
+    let bytes_per_s = 2.0 * simulation.bytes as f64 / per_instance;
+    let messages_per_s = 2.0 * simulation.messages as f64 / per_instance;
     let core_percent =
-        net.cpu_time.take().map(|cpu_time| 100.0 * cpu_time.as_secs_f64() / per_instance);
-    let settings_known_s = net.measure_settings_propagation();
-    let endpoint_leaving_known_s = net.measure_endpoint_propagation();
-    net.pause_one_instance();
-    let leave_known_s = net.measure_state_propagation(cfg.instances - 1, MemberState::Leaving);
-    let death_known_s = net.measure_state_propagation(cfg.instances - 2, MemberState::Dead);
+        simulation.cpu_time.take().map(|cpu_time| 100.0 * cpu_time.as_secs_f64() / per_instance);
+    let settings_known_s = simulation.measure_settings_propagation();
+    let endpoint_leaving_known_s = simulation.measure_endpoint_propagation();
+    simulation.pause_one_instance();
+    let leave_known_s =
+        simulation.measure_state_propagation(cfg.instances - 1, MemberState::Leaving);
+    let death_known_s = simulation.measure_state_propagation(cfg.instances - 2, MemberState::Dead);
     GossipReport {
         instances: cfg.instances,
         loss: cfg.loss,
         bytes_per_s,
         messages_per_s,
         core_percent,
-        memory_bytes: member_table_bytes(&net.nodes[0]),
+        memory_bytes: member_table_bytes(&simulation.nodes[0]),
         death_known_s,
         leave_known_s,
         settings_known_s,
         endpoint_leaving_known_s,
         false_deaths_joining,
-        false_deaths: net.false_deaths,
-        refuted: net.nodes.iter().map(Membership::refuted_suspicions).sum(),
+        false_deaths: simulation.false_deaths,
+        refuted: simulation.nodes.iter().map(Membership::refuted_suspicions).sum(),
     }
 }
 
@@ -169,7 +171,7 @@
             let gossip = MembershipConfig::default();
             Membership::new(gossip, id(at), address(at), incarnation, seeds.clone(), seed)
         };
-        let mut net = Self {
+        let mut simulation = Self {
             now: Timestamp::default(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
@@ -187,10 +189,10 @@
             cpu_time: None,
         };
         for at in 0..n {
-            let start = Timestamp(net.rng.random_range(0..200_000));
-            net.schedule_at(start, NetworkEvent::Wake(at));
+            let start = Timestamp(simulation.rng.random_range(0..200_000));
+            simulation.schedule_at(start, NetworkEvent::Wake(at));
         }
-        net
+        simulation
     }
 
     fn schedule_at(&mut self, at: Timestamp, network_event: NetworkEvent) {
@@ -296,14 +298,16 @@
         let version = SettingsVersion(1);
         self.known_version[0] = version;
         self.handle(0, Event::Settings(version));
-        self.time_until(|net| net.known_version.iter().all(|current| *current == version))
+        self.time_until(|simulation| {
+            simulation.known_version.iter().all(|current| *current == version)
+        })
     }
 
     fn measure_endpoint_propagation(&mut self) -> f64 {
         let Ok(endpoint) = "engine-1".parse::<EndpointId>() else { return 0.0 };
         self.knows_leaving[0] = true;
         self.handle(0, Event::EndpointLeaving(endpoint));
-        self.time_until(|net| net.knows_leaving.iter().all(|informed| *informed))
+        self.time_until(|simulation| simulation.knows_leaving.iter().all(|informed| *informed))
     }
 
     /// Pauses one instance for 1 s and runs for 10 s, to check for false deaths.
@@ -319,10 +323,10 @@
             self.crashed[node] = true;
         }
         let changed = id(node);
-        self.time_until(move |net| {
-            net.nodes.iter().enumerate().all(|(at, other)| {
+        self.time_until(move |simulation| {
+            simulation.nodes.iter().enumerate().all(|(at, other)| {
                 let known = other.members().find(|m| m.id == changed);
-                at == node || net.crashed[at] || known.is_none_or(|m| m.state >= state)
+                at == node || simulation.crashed[at] || known.is_none_or(|m| m.state >= state)
             })
         })
     }
--- a/crates/ringbend-bench/src/metrics.rs
+++ b/crates/ringbend-bench/src/metrics.rs
@@ -30,9 +30,9 @@
 /// over several seeds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct RunReport {
-    /// Requests that arrived after the warm-up; the other counts are of these.
+    /// Requests that arrived after the warm-up.
     pub requests: f64,
-    /// Requests that an instance admitted.
+    /// Of those, requests that an instance admitted.
     pub admitted: f64,
     /// Requests answered completely within their deadline.
     pub answered_in_time: f64,
@@ -42,7 +42,7 @@
     pub rejected: f64,
     /// Requests lost in the crash of their instance.
     pub instance_lost: f64,
-    /// Requests without an outcome at the end of the run.
+    /// Requests of the whole run that had no outcome at its end.
     pub open_at_end: f64,
     /// Prompt and output tokens per second of answers that completed within their deadline, after
     /// the warm-up and while requests were still arriving.
--- a/crates/ringbend-bench/src/routing.rs
+++ b/crates/ringbend-bench/src/routing.rs
@@ -154,6 +154,7 @@
     instances: Vec<Instance>,
     engines: Vec<Engine>,
     records: Vec<RequestRecord>,
+    /// Open requests, with the indexes of their record and their instance.
     requests: BTreeMap<RequestId, (usize, usize)>,
     attempts: BTreeMap<AttemptId, Attempt>,
     /// Attempts whose tokens their instance still accepts, with the index of the request record.
--- a/crates/ringbend-bench/src/scenario.rs
+++ b/crates/ringbend-bench/src/scenario.rs
@@ -23,7 +23,7 @@
     PeachLine,
     /// From quotes to portfolio checks, all interactive (a customer waits); 0.5 ms one-way latency.
     BlueMahoe,
-    /// The request mix of `PeachLine` above capacity; 1.5 times the capacity by default.
+    /// The request mix of `PeachLine` at a given load, by default 1.5 times the capacity.
     Overload,
     /// More prompts of up to 1,000,000 tokens, which need the memory of several engines at once, so
     /// that several of them wait at the same time.
@@ -340,8 +340,8 @@
         self.engine_prefill_rate() * self.engines as f64
     }
 
-    /// Generates the requests, with exponential gaps between them. They depend on the seed only and
-    /// are the same for every policy.
+    /// Generates the requests, with exponential gaps between them. Within a scenario they
+    /// depend only on the seed and are the same for every policy.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
         let mut rng = Seed(seed).rng(ARRIVAL_STREAM);
         let mean = self.mean_prompt_tokens(&mut rng);
--- a/crates/ringbend-bench/src/shares.rs
+++ b/crates/ringbend-bench/src/shares.rs
@@ -147,22 +147,22 @@
 /// Runs one scenario. If `leased`, instances lease shares from an owner; otherwise they split the
 /// limit equally.
 pub fn measure_shares(scenario: ShareScenario, leased: bool, instances: usize) -> ShareRun {
-    let mut run = ShareSimulation::new(scenario, leased, instances);
+    let mut simulation = ShareSimulation::new(scenario, leased, instances);
     let steps = DURATION.as_millis() / STEP.as_millis();
     let mut used = Vec::new();
     for _ in 0..steps {
-        used.push(run.step());
-        run.now = run.now + STEP;
+        used.push(simulation.step());
+        simulation.now = simulation.now + STEP;
     }
     let seconds = DURATION.as_secs_f64();
-    run.report(&used, seconds)
+    simulation.report(&used, seconds)
 }
 
 impl ShareSimulation {
     fn new(scenario: ShareScenario, leased: bool, n: usize) -> Self {
         let shares = (0..n).map(|n| LimitShares::new(ShareConfig::default(), instance(n)));
         let cfg = LimitsConfig { tokens_per_s: RATE, burst_s: 1, ..LimitsConfig::default() };
-        let mut run = Self {
+        let mut simulation = Self {
             scenario,
             leased,
             now: Timestamp::default(),
@@ -176,8 +176,8 @@
             pending_demand: vec![0.0; n],
             cfg,
         };
-        run.update_peers();
-        run
+        simulation.update_peers();
+        simulation
     }
 
     fn update_peers(&mut self) {
