--- a/crates/ringbend-standins/src/engine_api.rs
+++ b/crates/ringbend-standins/src/engine_api.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
-use ringbend_models::{Submit, SubmitError, prefix_blocks};
+use ringbend_models::{SequenceRequest, SubmitError, prefix_blocks};
 use ringbend_platform::{Order, Reservation, headers};
 use ringbend_runtime::{
     Handler, HttpRequest, HttpResponse, StreamError, StreamSender, empty, json, read_body, stream,
@@ -164,8 +164,8 @@
         let Some((generation, format)) = self.parse_prompt(req, &prompt, chat) else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        let (attempt, request) = (generation.submit.attempt, generation.request);
-        let resume_from = generation.submit.resume_from;
+        let (attempt, request) = (generation.sequence_request.attempt, generation.request);
+        let resume_from = generation.sequence_request.resume_from;
         let tokens = match self.driver.submit(generation) {
             Ok(tokens) => tokens,
             Err(e) => return rejection(e),
@@ -201,7 +201,7 @@
             return None;
         }
         let prompt_tokens = (raw.len() as u64).div_ceil(BYTES_PER_TOKEN);
-        let submit = Submit {
+        let sequence_request = SequenceRequest {
             attempt: parse_header(req, headers::ATTEMPT_ID)
                 .unwrap_or_else(|| self.new_attempt_id()),
             prompt_tokens: TokenCount(prompt_tokens),
@@ -209,14 +209,14 @@
             resume_from,
             priority: parse_header(req, headers::PRIORITY).unwrap_or(0),
             blocks: prefix_blocks(raw),
-            borrowed: parse_header(req, headers::BORROWED_TOKENS).unwrap_or_default(),
+            reserved_elsewhere: parse_header(req, headers::BORROWED_TOKENS).unwrap_or_default(),
         };
         let request = parse_header(req, headers::REQUEST_ID).unwrap_or(RequestId {
-            incarnation: submit.attempt.incarnation,
-            sequence: submit.attempt.sequence,
+            incarnation: sequence_request.attempt.incarnation,
+            sequence: sequence_request.attempt.sequence,
         });
         let format = ResponseFormat { chat, model: self.model.clone(), prompt_tokens };
-        Some((GenerationRequest { request, prompt_hash, submit }, format))
+        Some((GenerationRequest { request, prompt_hash, sequence_request }, format))
     }
 
     /// Returns an attempt id for a request without one.
--- a/crates/ringbend-standins/src/engine_driver.rs
+++ b/crates/ringbend-standins/src/engine_driver.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ringbend_models::{EngineModel, EngineOutput, OrderOutcome, Submit, SubmitError};
+use ringbend_models::{EngineModel, EngineOutput, OrderOutcome, SequenceRequest, SubmitError};
 use ringbend_platform::{EndpointState, LoadReport, Order};
 use ringbend_runtime::Clock;
 use ringbend_types::{AttemptId, RequestId, Timestamp};
@@ -26,7 +26,7 @@
 pub(crate) struct GenerationRequest {
     pub(crate) request: RequestId,
     pub(crate) prompt_hash: u64,
-    pub(crate) submit: Submit,
+    pub(crate) sequence_request: SequenceRequest,
 }
 
 /// An open response and the channel that its tokens are sent over.
@@ -78,7 +78,7 @@
             let step = if self.faults.borrow().freeze {
                 Timestamp::NEVER
             } else {
-                self.model.borrow().next_step().unwrap_or(Timestamp::NEVER)
+                self.model.borrow().step_ends_at().unwrap_or(Timestamp::NEVER)
             };
             let due = self.clock.instant(step.min(next_report));
             tokio::select! {
@@ -103,13 +103,13 @@
         &self,
         generation: GenerationRequest,
     ) -> Result<mpsc::UnboundedReceiver<Token>, SubmitError> {
-        let attempt = generation.submit.attempt;
-        if generation.submit.resume_from == 0
+        let attempt = generation.sequence_request.attempt;
+        if generation.sequence_request.resume_from == 0
             && !self.started_requests.borrow_mut().insert(generation.request)
         {
             self.rerun.borrow_mut().push(generation.request);
         }
-        self.model.borrow_mut().submit(self.clock.now(), generation.submit)?;
+        self.model.borrow_mut().submit(self.clock.now(), generation.sequence_request)?;
         self.submitted.set(self.submitted.get() + 1);
         let (tokens, rx) = mpsc::unbounded_channel();
         let GenerationRequest { request, prompt_hash, .. } = generation;
@@ -213,7 +213,7 @@
     pub(crate) fn stats(&self) -> EngineStats {
         let model = self.model.borrow();
         EngineStats {
-            sequences: model.sequences(),
+            sequences: model.sequence_count(),
             kv_used: model.report().kv_used,
             peak_kv: model.peak_kv(),
             reservations: model.reservations().len(),
