--- a/crates/ringbend-relay/src/active_request.rs
+++ b/crates/ringbend-relay/src/active_request.rs
@@ -84,7 +84,7 @@
 
 /// Range of the `Retry-After` of a long prompt that could not be placed in time, as a share of its
 /// target time to the first event.
-const RETRY_AIM_SHARE: std::ops::Range<f64> = 0.5..1.0;
+const LATE_RETRY_AFTER_SHARE: std::ops::Range<f64> = 0.5..1.0;
 
 /// Callers are spread over this time when a back-off of endpoints ends.
 const BACKOFF_END_JITTER: Duration = Duration::from_millis(500);
@@ -205,7 +205,7 @@
     /// requests that occupy the engines now have similar targets. The value is random, so that
     /// callers refused together do not return together.
     fn late_retry_after(&self) -> Duration {
-        let share = self.node.rng.borrow_mut().random_range(RETRY_AIM_SHARE);
+        let share = self.node.rng.borrow_mut().random_range(LATE_RETRY_AFTER_SHARE);
         self.config.route.aim.mul_f64(share)
     }
 
@@ -295,8 +295,8 @@
     }
 
     async fn send(&mut self) -> Result<SendSuccess, SendFailure> {
-        let sent = self.schedule(false).await?;
-        let run = self.start(sent, None).await?;
+        let scheduled = self.schedule(false).await?;
+        let run = self.start(scheduled, None).await?;
         let (run, started) = self.await_first_response(run).await?;
         let ResponseStart { head, response, body } = started;
         self.check_response(&run.endpoint, &response, head.status)?;
@@ -324,8 +324,9 @@
         let status = head.status;
         let mut res = Response::with_body(status, body.boxed());
         copy_headers(&head, res.headers_mut());
-        let may_be_better = status.is_server_error() && self.config.route.repeat.may_repeat();
-        if may_be_better {
+        let may_succeed_elsewhere =
+            status.is_server_error() && self.config.route.repeat.may_repeat();
+        if may_succeed_elsewhere {
             self.endpoint_failure = Some(res);
             return Err(SendFailure::Send(SendOutcome::FailedAnswer));
         }
@@ -355,7 +356,7 @@
     Held,
     /// The request may crash endpoints, and no arbiter is available to place it.
     NoArbiter,
-    /// All remaining endpoints are rate-limited and have no permit before this time.
+    /// All remaining endpoints are rate-limited and have no permit for at least this time.
     Limited(Duration),
     /// All endpoints asked this instance to back off for at least this time.
     BackingOff(Duration),
@@ -365,6 +366,6 @@
     Stopping,
     /// The instance has stopped and the send was aborted.
     Aborted,
-    /// The send ended this way.
+    /// The send ended with this outcome.
     Send(SendOutcome),
 }
--- a/crates/ringbend-relay/src/admission.rs
+++ b/crates/ringbend-relay/src/admission.rs
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// The reason why none may be sent.
-    pub(crate) fn admission(&self, endpoint: &Endpoint) -> Result<(), Inadmissible> {
+    pub(crate) fn check_admission(&self, endpoint: &Endpoint) -> Result<(), Inadmissible> {
         if let Some(why) = closed_reason(&self.directory.borrow(), endpoint) {
             return Err(why);
         }
@@ -62,15 +62,15 @@
             return Vec::new();
         }
         let directory = self.directory.borrow();
-        let (mut closed, mut probed, mut is_one_open) = (Vec::new(), Vec::new(), false);
+        let (mut closed, mut probed, mut any_open) = (Vec::new(), Vec::new(), false);
         for endpoint in directory.of_service(now, service) {
             match backoffs.state(now, endpoint) {
-                BackoffState::Open => is_one_open = true,
+                BackoffState::Open => any_open = true,
                 BackoffState::Probed => probed.push(endpoint.id.clone()),
                 BackoffState::Closed(_) => closed.push(endpoint.id.clone()),
             }
         }
-        if is_one_open {
+        if any_open {
             closed.append(&mut probed);
         }
         closed.truncate(MAX_CLOSED);
@@ -128,8 +128,9 @@
     ///
     /// It may not. Nothing was sent, so the request is placed again.
     pub(crate) fn admit(&mut self, dependencies: &[Endpoint]) -> Result<(), SendFailure> {
-        let rejected =
-            dependencies.iter().find_map(|e| Some((e.id.clone(), self.node.admission(e).err()?)));
+        let rejected = dependencies
+            .iter()
+            .find_map(|e| Some((e.id.clone(), self.node.check_admission(e).err()?)));
         let Some((endpoint, why)) = rejected else { return Ok(()) };
         if dependencies.first().is_some_and(|lead| lead.id == endpoint) {
             // The scheduler may not have received the signal yet; a tried endpoint is not chosen
@@ -137,7 +138,7 @@
             self.attempts.record_send(&endpoint);
         }
         self.node.metrics.inadmissible();
-        log::info!(target: "request", id = self.request_id(), endpoint:%, why:%; "endpoint takes no requests; placing again");
+        log::info!(target: "request", id = self.request_id(), endpoint:%, why:%; "endpoint accepts no requests; placing again");
         Err(SendFailure::Send(SendOutcome::NotSent))
     }
 }
--- a/crates/ringbend-relay/src/callers.rs
+++ b/crates/ringbend-relay/src/callers.rs
@@ -19,7 +19,7 @@
 use crate::refusal::Refusal;
 
 /// How long a request waits for the initial state of an instance that has just started. The first
-/// copies take some tens of milliseconds; the tightest target times to the first event are 120 and
+/// copies take some tens of milliseconds; the shortest target times to the first event are 120 and
 /// 300 ms.
 const STARTUP_WAIT: Duration = Duration::from_millis(200);
 
@@ -86,11 +86,11 @@
         let admitted = self.admit(&req, metadata, arrived_at)?;
         let limits = admitted.snapshot.limits;
         let deadline = arrived_at + admitted.route.timeout.min(client_timeout(metadata));
-        let time = deadline.since(self.node.clock.now());
+        let timeout = deadline.since(self.node.clock.now());
         let mut builder =
             FingerprintBuilder::new(admitted.account.as_ref(), host(req.head()), req.head());
-        let hash_body = |piece: &[u8]| builder.add_body(piece);
-        let body = read_body_with(req.take_payload(), limits.body_bytes, time, hash_body).await;
+        let hash_body = |chunk: &[u8]| builder.add_body(chunk);
+        let body = read_body_with(req.take_payload(), limits.body_bytes, timeout, hash_body).await;
         let body = body.map_err(|e| Refusal::from(&e))?;
         let fingerprint = builder.finish();
         let sample = self.node.rng.borrow_mut().random::<f64>();
@@ -115,7 +115,7 @@
         Ok(request.run().await)
     }
 
-    /// Delays a request that arrives right after the start until the first copies are there.
+    /// Delays a request that arrives right after the start until the first copies are available.
     async fn wait_for_initial_state(&self) {
         let until = tokio::time::Instant::now() + STARTUP_WAIT;
         while !self.node.has_initial_state() {
@@ -133,13 +133,13 @@
         arrived_at: Timestamp,
     ) -> Result<Admitted, Refusal> {
         let head = req.head();
-        let arrival = AdmissionRequest {
+        let request = AdmissionRequest {
             host: host(head),
             path: head.uri.path(),
             key: metadata.api_key.as_deref(),
         };
-        let bounds = self.node.cfg.borrow().bounds.gate();
-        admit(&self.node.replica.borrow(), arrived_at, &bounds, arrival).map_err(Refusal::Denied)
+        let bounds = self.node.cfg.borrow().bounds.admission_bounds();
+        admit(&self.node.replica.borrow(), arrived_at, &bounds, request).map_err(Refusal::Denied)
     }
 }
 
--- a/crates/ringbend-relay/src/config.rs
+++ b/crates/ringbend-relay/src/config.rs
@@ -124,7 +124,7 @@
 
 impl Default for BoundsConfig {
     fn default() -> Self {
-        // The defaults. A retry ratio of one fifth is usual for retry budgets.
+        // A retry ratio of one fifth is usual for retry budgets.
         Self {
             key_revoked_ms: 5_000.0,
             config_apply_ms: 2_000.0,
@@ -225,19 +225,19 @@
 }
 
 fn check_placement(w: &PlacementWeights) -> Result<(), Report<RelayConfigError>> {
-    let is_span = |ms: f64| ms.is_finite() && ms >= 0.0;
+    let is_non_negative = |ms: f64| ms.is_finite() && ms >= 0.0;
     check_all(&[
         ("placement.stake_power", "between 0 and 4", (0.0..=4.0).contains(&w.stake_power)),
         ("placement.late_at", "above placement.late_from", w.late_at > w.late_from),
         ("placement.part_ms", "above zero", w.part_ms.is_finite() && w.part_ms > 0.0),
-        ("placement.long_ms", "zero or more", is_span(w.long_ms)),
-        ("placement.free_ms", "zero or more", is_span(w.free_ms)),
+        ("placement.long_ms", "zero or more", is_non_negative(w.long_ms)),
+        ("placement.free_ms", "zero or more", is_non_negative(w.free_ms)),
         ("placement.longest_ms", "above zero", w.longest_ms.is_finite() && w.longest_ms > 0.0),
         ("placement.full_share", "above 0, at most 1", w.full_share > 0.0 && w.full_share <= 1.0),
-        ("placement.dear", "zero or more", is_span(w.dear)),
-        ("placement.spare_ms", "zero or more", is_span(w.spare_ms)),
-        ("placement.quiet_growth", "zero or more", is_span(w.quiet_growth)),
-        ("placement.quiet_spare", "zero or more", is_span(w.quiet_spare)),
+        ("placement.dear", "zero or more", is_non_negative(w.dear)),
+        ("placement.spare_ms", "zero or more", is_non_negative(w.spare_ms)),
+        ("placement.quiet_growth", "zero or more", is_non_negative(w.quiet_growth)),
+        ("placement.quiet_spare", "zero or more", is_non_negative(w.quiet_spare)),
     ])
 }
 
@@ -272,7 +272,7 @@
     }
 
     /// The bounds on the age of the configuration.
-    pub(crate) fn gate(&self) -> AdmissionBounds {
+    pub(crate) fn admission_bounds(&self) -> AdmissionBounds {
         let revoked = millis(self.key_revoked_ms);
         let key_age = (self.key_revoked_ms > 0.0).then(|| revoked.mul_f64(KEY_MAX_AGE_SHARE));
         AdmissionBounds { key_age, denial_age: millis(self.config_apply_ms) }
--- a/crates/ringbend-relay/src/engine_pace.rs
+++ b/crates/ringbend-relay/src/engine_pace.rs
@@ -209,7 +209,7 @@
         engine: &EndpointId,
     ) -> Result<Option<EngineReport>, ExchangeError> {
         let Some(endpoint) = self.directory.borrow().get(engine).cloned() else { return Ok(None) };
-        if self.admission(&endpoint).is_err() {
+        if self.check_admission(&endpoint).is_err() {
             return Ok(None);
         }
         let request = self.dialect.report_request(engine);
--- a/crates/ringbend-relay/src/fingerprint.rs
+++ b/crates/ringbend-relay/src/fingerprint.rs
@@ -27,8 +27,8 @@
     }
 
     /// Adds a chunk of the body.
-    pub(crate) fn add_body(&mut self, piece: &[u8]) {
-        self.0.update(piece);
+    pub(crate) fn add_body(&mut self, chunk: &[u8]) {
+        self.0.update(chunk);
     }
 
     /// The fingerprint, once the body is complete.
--- a/crates/ringbend-relay/src/lib.rs
+++ b/crates/ringbend-relay/src/lib.rs
@@ -2,7 +2,7 @@
 //! passed through unread.
 //!
 //! Callers connect over HTTP/1.1. Each send to an endpoint uses a connection of its own. Two
-//! watched tables keep the configuration and the endpoints current. Headers and the store's
+//! watches keep local copies of the configuration and endpoint tables current. Headers and the store's
 //! protocol belong to an adapter that implements [`Dialect`] and [`Source`].
 
 mod active_request;
--- a/crates/ringbend-relay/src/node.rs
+++ b/crates/ringbend-relay/src/node.rs
@@ -126,7 +126,7 @@
 /// With a configuration older than this the instance is not ready, so that the load balancer
 /// prefers other instances. An instance without contact to the store or its peers for three seconds
 /// is not expected to serve callers.
-const READY_AGE: Duration = Duration::from_millis(2_900);
+const MAX_READY_CONFIG_AGE: Duration = Duration::from_millis(2_900);
 
 impl Node {
     pub(crate) fn new(
@@ -206,8 +206,10 @@
     /// Whether the load balancer should send new callers to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         let age = self.replica.borrow().age(self.clock.now());
-        let known = !self.directory.borrow().is_empty() && self.may_serve_without_suspects();
-        self.stopping_since.get().is_none() && known && age.is_some_and(|age| age < READY_AGE)
+        let has_state = !self.directory.borrow().is_empty() && self.may_serve_without_suspects();
+        self.stopping_since.get().is_none()
+            && has_state
+            && age.is_some_and(|age| age < MAX_READY_CONFIG_AGE)
     }
 
     /// Whether a configuration that was verified as current at least once, and endpoints, are
--- a/crates/ringbend-relay/src/placement.rs
+++ b/crates/ringbend-relay/src/placement.rs
@@ -31,9 +31,9 @@
     Held,
     /// The request may crash endpoints, and no arbiter is available to place it.
     NoArbiter,
-    /// All remaining endpoints are rate-limited and have no permit before this time.
+    /// All remaining endpoints are rate-limited and have no permit for at least this time.
     Limited(Duration),
-    /// This instance was asked as the limit coordinator, but is not.
+    /// This instance was asked as the limit coordinator, but does not have that role.
     NotCoordinator,
 }
 
@@ -47,12 +47,12 @@
     MustWait,
 }
 
-/// Which instance may issue a permit of a rate-limited endpoint, and places the request then.
+/// Which instance may issue a permit for a rate-limited endpoint and place the request there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PermitIssuer {
     /// The limit coordinator, whichever instance that is.
     Any,
-    /// This instance, as it was asked as the limit coordinator.
+    /// Only this instance, because another one asked it as the limit coordinator.
     Local,
 }
 
@@ -173,8 +173,8 @@
         engine: Option<EngineProfile>,
         placement: Placement,
     ) -> Placement {
-        let long = self.is_long(job, engine);
-        let work = job.work(&self.cfg.borrow().placement, &placement, long);
+        let is_long = self.is_long(job, engine);
+        let work = job.work(&self.cfg.borrow().placement, &placement, is_long);
         self.load.borrow_mut().place(self.clock.now(), id, work);
         self.outbox.borrow_mut().placed.push(id);
         self.flush.immediate.notify_one();
@@ -187,13 +187,13 @@
         engine.is_some_and(|(e, demand)| is_long(&self.cfg.borrow().placement, e, demand))
     }
 
-    /// Evaluates `with` on the current state of the service's endpoints, without those that are
+    /// Calls `evaluate` with the current state of the service's endpoints, without those that are
     /// closed to the request.
     pub(crate) fn with_view<T>(
         &self,
         job: &Job,
         closed: &ClosedEndpoints,
-        with: impl FnOnce(FleetView<'_>, &[&Endpoint]) -> T,
+        evaluate: impl FnOnce(FleetView<'_>, &[&Endpoint]) -> T,
     ) -> T {
         let now = self.clock.now();
         self.load.borrow_mut().advance(now);
@@ -220,7 +220,7 @@
             is_suspect: job.suspect.is_some(),
             limits: &limits,
         };
-        with(view, &candidates)
+        evaluate(view, &candidates)
     }
 
     /// Chooses endpoints and logs the decision.
--- a/crates/ringbend-relay/src/placement_grants.rs
+++ b/crates/ringbend-relay/src/placement_grants.rs
@@ -18,14 +18,14 @@
     requester: SocketAddrV4,
     /// `None` while the request waits for its turn.
     grant: Option<Grant>,
-    waiting: Option<JoinHandle<()>>,
-    until: Timestamp,
+    wait_task: Option<JoinHandle<()>>,
+    deadline: Timestamp,
 }
 
 impl Drop for GrantState {
     fn drop(&mut self) {
-        if let Some(waiting) = &self.waiting {
-            waiting.abort();
+        if let Some(wait_task) = &self.wait_task {
+            wait_task.abort();
         }
     }
 }
@@ -63,7 +63,7 @@
         self.reporters.get(&incarnation).copied()
     }
 
-    /// Removes and returns the incarnations whose work was last reported by a scheduler.
+    /// Removes and returns the incarnations whose work was last reported by this scheduler.
     pub(crate) fn take_reported_by(&mut self, scheduler: SocketAddrV4) -> Vec<u64> {
         let mut incarnations = Vec::new();
         self.reporters.retain(|incarnation, by| {
@@ -90,7 +90,7 @@
 
     /// Removes placement requests whose deadline has passed.
     pub(crate) fn sweep(&mut self, now: Timestamp) {
-        self.open.retain(|_, state| state.until > now);
+        self.open.retain(|_, state| state.deadline > now);
     }
 
     /// Removes everything, as this instance is no longer a scheduler. Returns the replies to the
@@ -146,19 +146,20 @@
             self.placement_grants.borrow_mut().record_served(id.instance);
         }
         let waits = job.suspect.is_some() || (!job.at_once && self.is_long(&job, engine));
-        let until = job.deadline;
+        let deadline = job.deadline;
         let placed =
             if waits { Err(NotPlaced::MustWait) } else { self.try_place(id, &job, engine) };
         if let Some(placed) = immediate_result(placed) {
             let grant = self.build_grant(id, &job, placed);
-            let (stored_grant, waiting) = (Some(grant.clone()), None);
-            let state = GrantState { requester: from, grant: stored_grant, waiting, until };
+            let (stored_grant, wait_task) = (Some(grant.clone()), None);
+            let state = GrantState { requester: from, grant: stored_grant, wait_task, deadline };
             self.placement_grants.borrow_mut().open.insert(id, state);
             return grant;
         }
         let granted = self.clone().grant_when_due(from, id, job, engine, is_delegated);
-        let waiting = tokio::task::spawn_local(granted);
-        let state = GrantState { requester: from, grant: None, waiting: Some(waiting), until };
+        let wait_task = tokio::task::spawn_local(granted);
+        let state =
+            GrantState { requester: from, grant: None, wait_task: Some(wait_task), deadline };
         self.placement_grants.borrow_mut().open.insert(id, state);
         grant_with_verdict(id, Verdict::Queued)
     }
@@ -186,7 +187,7 @@
         self.send_digest(&LoadDigest { grants: vec![grant.clone()], ..self.digest() }, from);
         if let Some(state) = self.placement_grants.borrow_mut().open.get_mut(&id) {
             state.grant = Some(grant);
-            state.waiting = None;
+            state.wait_task = None;
         }
     }
 
--- a/crates/ringbend-relay/src/placement_requests.rs
+++ b/crates/ringbend-relay/src/placement_requests.rs
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use crate::placement::PlacementError;
 
-/// How long a scheduler may take to reply, a third of the tightest target times to the first event.
+/// How long a scheduler may take to reply, a third of the shortest target time to the first event.
 /// A round trip takes a fifth of a millisecond and a decision a few tenths; a scheduler that has
 /// used up its processor quota resumes within a tenth of a second.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(40);
@@ -41,8 +41,9 @@
 
     /// Delivers a reply. Replies to requests that are no longer pending are dropped: another
     /// scheduler has replied, or the caller has disconnected.
-    pub(crate) fn deliver(&self, own: u64, grant: &Grant) {
-        let id = WorkId { instance: grant.owner.unwrap_or(own), sequence: grant.sequence };
+    pub(crate) fn deliver(&self, own_incarnation: u64, grant: &Grant) {
+        let id =
+            WorkId { instance: grant.owner.unwrap_or(own_incarnation), sequence: grant.sequence };
         if let Some(tx) = self.open.get(&id) {
             drop(tx.send(grant.clone()));
         }
@@ -75,8 +76,8 @@
         self.send(scheduler, job);
         let mut is_queued = false;
         loop {
-            let time = if is_queued { QUEUED_RESEND_INTERVAL } else { GRANT_TIMEOUT };
-            match tokio::time::timeout(time, self.rx.recv()).await {
+            let timeout = if is_queued { QUEUED_RESEND_INTERVAL } else { GRANT_TIMEOUT };
+            match tokio::time::timeout(timeout, self.rx.recv()).await {
                 Ok(Some(grant)) => match grant.verdict() {
                     Verdict::Queued => is_queued = true,
                     Verdict::NotHere => return None,
@@ -118,13 +119,13 @@
         job: &Job,
         next: impl Fn(&Peers, Timestamp, &[SocketAddrV4]) -> Option<SocketAddrV4>,
     ) -> Option<Result<Placement, PlacementError>> {
-        let mut open = PendingRequest::new(self.clone(), id);
+        let mut pending = PendingRequest::new(self.clone(), id);
         let mut asked: SmallVec<[SocketAddrV4; MAX_SCHEDULERS_ASKED]> = SmallVec::new();
         let started_at = self.clock.now();
         while asked.len() < MAX_SCHEDULERS_ASKED {
             let scheduler = next(&self.peers.borrow(), self.clock.now(), &asked)?;
             asked.push(scheduler);
-            let Some(grant) = open.await_decision(scheduler, job).await else { continue };
+            let Some(grant) = pending.await_decision(scheduler, job).await else { continue };
             let asked_ms = self.clock.now().since(started_at).as_millis() as u64;
             log::info!(
                 target: "request", id = job.request.as_ref(), scheduler:%, asked_ms,
@@ -154,7 +155,12 @@
     }
 
     /// Adds a granted placement to this instance's load tracker. `None` if it cannot be decoded.
-    fn apply_grant(&self, id: WorkId, grant: &Grant, is_doubtful: bool) -> Option<Placement> {
+    fn apply_grant(
+        &self,
+        id: WorkId,
+        grant: &Grant,
+        may_be_placed_twice: bool,
+    ) -> Option<Placement> {
         let now = self.clock.now();
         let work = match grant.work.as_ref().map(|work| decode_placed_work(now, work)) {
             Some(Ok(work)) => work,
@@ -174,7 +180,7 @@
             first_ms: grant.first_us as f64 / 1e3,
         };
         self.load.borrow_mut().place(now, id, work);
-        if is_doubtful {
+        if may_be_placed_twice {
             // The scheduler asked before may have placed the request elsewhere.
             self.outbox.borrow_mut().placed.push(id);
             self.flush.immediate.notify_one();
--- a/crates/ringbend-relay/src/prompt_queue.rs
+++ b/crates/ringbend-relay/src/prompt_queue.rs
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Reports to other schedulers that a long prompt is waiting.
+    /// Records that a long prompt is waiting, and reports it to other schedulers.
     fn register_waiting(&self, id: WorkId, job: &Job, engine: EngineProfile, demand: Demand) {
         let read = Duration::from_secs_f64(engine.prefill_ms(demand.prompt_tokens) / 1e3);
         let waiting = WaitingPrompt {
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -25,7 +25,7 @@
     ConfigDecoder, ConfigItem, ConfigSource, Dialect, DurableStore, EndpointSource,
     InstanceRegistry,
 };
-use crate::suspect_store::learn_suspects;
+use crate::suspect_store::load_suspects;
 use crate::table_copies::{ConfigCopy, EndpointCopy};
 use crate::watch::Watch;
 
@@ -91,7 +91,7 @@
     ///
     /// The relay cannot listen on one of its addresses.
     pub async fn start(cfg: RelayConfig, ports: Ports) -> Result<Self, Report<RelayError>> {
-        Self::start_at(cfg, ports, Clock::start_at(CLOCK_AT_START)).await
+        Self::start_inner(cfg, ports, Clock::start_at(CLOCK_AT_START)).await
     }
 
     /// Like [`Self::start`], with a clock that reads its time from `read`; used by tests of
@@ -105,10 +105,10 @@
         ports: Ports,
         read: fn() -> Duration,
     ) -> Result<Self, Report<RelayError>> {
-        Self::start_at(cfg, ports, Clock::with_source(read, CLOCK_AT_START)).await
+        Self::start_inner(cfg, ports, Clock::with_source(read, CLOCK_AT_START)).await
     }
 
-    async fn start_at(
+    async fn start_inner(
         cfg: RelayConfig,
         ports: Ports,
         clock: Clock,
@@ -134,7 +134,7 @@
             Watch::<Endpoint, EndpointChange, _>::new(node.clone(), ports.endpoints, EndpointCopy);
         let mut tasks =
             vec![tokio::task::spawn_local(config.run()), tokio::task::spawn_local(endpoints.run())];
-        tasks.push(tokio::task::spawn_local(learn_suspects(node.clone())));
+        tasks.push(tokio::task::spawn_local(load_suspects(node.clone())));
         if let Some(address) = listen.peers {
             let server =
                 start_server(address.into(), Rc::new(CopyServer { node: node.clone() })).await?;
--- a/crates/ringbend-relay/src/runs.rs
+++ b/crates/ringbend-relay/src/runs.rs
@@ -3,7 +3,7 @@
 //! The first event of a short prompt may be overdue because its engine is slow, has failed or is
 //! prefilling something else. The cause cannot be determined in time. The request is therefore also
 //! sent to another engine, provided that this one can still meet the target, and the first response
-//! is used. Requests whose engine has just crashed or turned slow thus meet their target, where
+//! is used. Requests whose engine has just crashed or become slow thus meet their target, where
 //! they would otherwise wait for over a second. The cost is a prompt that is prefilled twice; the
 //! retry budget bounds how often.
 
@@ -86,8 +86,8 @@
         {
             node.apply_signals(&endpoint, sent_at, &response.signals, LimitSource::Response);
         }
-        let is_own = !response.not_run && response.request_id == request_id;
-        if !(streaming && is_own && head.status == StatusCode::OK) {
+        let is_own_response = !response.not_run && response.request_id == request_id;
+        if !(streaming && is_own_response && head.status == StatusCode::OK) {
             return Ok(ResponseStart { head, response, body: ResponseBody::Body(incoming) });
         }
         let mut events = EventStream::new(incoming, last_event);
@@ -156,8 +156,8 @@
         &mut self,
         mut run: Run,
     ) -> Result<(Run, ResponseStart), SendFailure> {
-        let Some(at) = self.hedge_at(&run) else { return self.await_response(run).await };
-        match self.run_until(&run.dependencies, at, &mut run.started).await {
+        let Some(hedge_time) = self.hedge_at(&run) else { return self.await_response(run).await };
+        match self.run_until(&run.dependencies, hedge_time, &mut run.started).await {
             Err(RunError::Late) => {}
             started => return self.settle(run, started),
         }
@@ -260,14 +260,17 @@
         &mut self,
         mut run: Run,
     ) -> Result<(Run, ResponseStart), SendFailure> {
-        let by = run.silence_deadline;
+        let silence_deadline = run.silence_deadline;
         let started = match run.tracked.memory {
-            Some(_) => self.run_until(&run.dependencies, by, &mut run.started).await,
-            None => self.wait_or_replace(&run.dependencies, by, &mut run.started).await,
+            Some(_) => self.run_until(&run.dependencies, silence_deadline, &mut run.started).await,
+            None => {
+                self.wait_or_replace(&run.dependencies, silence_deadline, &mut run.started).await
+            }
         };
         self.settle(run, started)
     }
 
+    /// Returns the response that a run has started, or records why there is none.
     fn settle(
         &mut self,
         mut run: Run,
--- a/crates/ringbend-relay/src/scheduling.rs
+++ b/crates/ringbend-relay/src/scheduling.rs
@@ -25,14 +25,15 @@
 /// The lowest priority that engines support.
 const MAX_RANK: u8 = 9;
 
-/// Callers abandon a stream without a first event after the longest of three times. This one is a
-/// multiple of the target time to the first event.
+/// Callers abandon a stream without a first event after the longest of three times: this multiple
+/// of the target time to the first event, `GAP_FACTOR` times the target for pauses between events,
+/// and `MIN_FIRST_EVENT_TIMEOUT`.
 const AIM_FACTOR: u32 = 4;
 
-/// The second one is a multiple of the target for pauses between events.
+/// Multiple of the target for pauses between events; see [`AIM_FACTOR`].
 const GAP_FACTOR: u32 = 8;
 
-/// The third one is fixed.
+/// Shortest time after which callers abandon a stream without a first event; see [`AIM_FACTOR`].
 const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A request's next send.
@@ -48,7 +49,8 @@
 }
 
 impl ActiveRequest {
-    /// Places the request. A request whose stream has begun does not wait for its turn.
+    /// Places the request. With `at_once`, as for a stream that is resumed, it does not wait for its
+    /// turn.
     pub(crate) async fn schedule(&self, at_once: bool) -> Result<ScheduledSend, SendFailure> {
         if self.is_held() {
             return Err(SendFailure::Held);
@@ -63,7 +65,7 @@
             () = self.wait_until_last_send() => return Err(SendFailure::Stopping),
             placement = self.node.schedule(tracked.id, &job, self.config.service.engine) => placement,
         };
-        let placement = placement.map_err(|denied| match denied {
+        let placement = placement.map_err(|e| match e {
             PlacementError::TurnExpired => SendFailure::TurnExpired,
             PlacementError::NoEndpoint => self.no_endpoint_reason(),
             PlacementError::Held => SendFailure::Held,
@@ -169,18 +171,21 @@
     /// When the caller gives up if no event has arrived.
     fn first_event_timeout(&self) -> Timestamp {
         let route = &self.config.route;
-        let patience = (route.aim * AIM_FACTOR)
+        let timeout = (route.aim * AIM_FACTOR)
             .max(self.gap_target() * GAP_FACTOR)
             .max(MIN_FIRST_EVENT_TIMEOUT);
-        self.attempts.deadline().min(self.arrived_at + patience)
+        self.attempts.deadline().min(self.arrived_at + timeout)
     }
 
     /// The request's priority in an engine's queue: by account or route first, then by how soon the
     /// first event is due, so that a long prompt that waits for memory does not delay short ones.
     pub(crate) fn engine_priority(&self) -> u8 {
-        let patience =
+        let urgency_rank =
             LOW_URGENCY_AIMS.iter().filter(|aim| self.config.route.aim > **aim).count() as u8;
-        self.priority().saturating_mul(RANKS_PER_PRIORITY).saturating_add(patience).min(MAX_RANK)
+        self.priority()
+            .saturating_mul(RANKS_PER_PRIORITY)
+            .saturating_add(urgency_rank)
+            .min(MAX_RANK)
     }
 
     /// The priority of the account, or of the route if the account has none.
@@ -196,7 +201,7 @@
         Duration::from_secs_f64(ms / 1_000.0)
     }
 
-    /// Waits a little for memory to be freed. False if a retry would be too late.
+    /// Waits briefly for memory to be freed. Returns false if a retry would be too late.
     pub(crate) async fn wait_for_memory(&self) -> bool {
         let now = self.node.clock.now();
         if now + MEMORY_RETRY_INTERVAL >= self.first_event_due().min(self.attempts.deadline()) {
--- a/crates/ringbend-relay/src/sending.rs
+++ b/crates/ringbend-relay/src/sending.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Records a failed run and decides how it counts.
+    /// Records a failed run and returns the resulting failure of the send.
     pub(crate) fn record_run_error(&mut self, endpoint: &Endpoint, why: &RunError) -> SendFailure {
         if matches!(why, RunError::Held) {
             log::warn!(
--- a/crates/ringbend-relay/src/shutdown.rs
+++ b/crates/ringbend-relay/src/shutdown.rs
@@ -2,9 +2,9 @@
 //!
 //! Once it is stopping, the instance is not ready, but accepts requests for a while, as callers
 //! notice it late. A request that could no longer complete is not sent but refused as not run, so
-//! that its caller can go elsewhere at once. A request that is on an endpoint without a response is
-//! told so just before the process ends. Otherwise both callers would see their connection close,
-//! and the first one would have waited for the rest of the grace time in vain.
+//! that its caller can go elsewhere at once. A request that was sent but has no response is
+//! answered with its run state just before the process ends. Otherwise both callers would only see
+//! their connection close, the first one after it has waited for the rest of the grace time.
 
 use std::time::Duration;
 
@@ -27,11 +27,11 @@
 /// The part of the grace time that is reserved for the process to exit by itself.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// How long before that reserve the last responses of this instance's own are written. A write to a
+/// How long before [`EXIT_RESERVE`] this instance writes the last responses of its own. A write to a
 /// caller takes some milliseconds, and the processor may be busy with all of them at once.
 const LAST_RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// How long before that reserve the last requests are sent to endpoints.
+/// How long before [`EXIT_RESERVE`] the last requests are sent to endpoints.
 const LAST_SEND_MARGIN: Duration = Duration::from_millis(200);
 
 /// Timeout of removing this instance's registry entry. An entry that remains is only an address at
@@ -90,7 +90,7 @@
         self.node.wait_until_remaining(self.min_response_time() + LAST_SEND_MARGIN).await;
     }
 
-    /// Whether that time has been reached.
+    /// Whether it is too late to send the request; see [`Self::wait_until_last_send`].
     pub(crate) fn is_too_late_to_send(&self) -> bool {
         let Some(started_at) = self.node.stopping_since.get() else { return false };
         let last =
@@ -124,9 +124,9 @@
     }
 
     fn is_drained(&self, started_at: Timestamp) -> bool {
-        let passed = self.node.clock.now().since(started_at);
-        let is_idle = self.node.open_requests.get() == 0 && passed >= MIN_DRAIN_TIME;
-        is_idle || passed >= self.node.drain_timeout()
+        let elapsed = self.node.clock.now().since(started_at);
+        let is_idle = self.node.open_requests.get() == 0 && elapsed >= MIN_DRAIN_TIME;
+        is_idle || elapsed >= self.node.drain_timeout()
     }
 
     /// Notifies other instances, and removes this one from the registry for those that start later.
--- a/crates/ringbend-relay/src/streams.rs
+++ b/crates/ringbend-relay/src/streams.rs
@@ -126,8 +126,8 @@
     request.record_forwarded(&endpoint.id);
     request.streaming_since = Some(request.node.clock.now());
     loop {
-        let by = gap_deadline(request);
-        match request.wait_or_replace(&dependencies, by, events.next()).await {
+        let silence_deadline = gap_deadline(request);
+        match request.wait_or_replace(&dependencies, silence_deadline, events.next()).await {
             Ok(Some(event)) => {
                 last = event.id.or(last);
                 send_event(tx, event).await;
@@ -202,8 +202,8 @@
     request: &mut ActiveRequest,
     last: Option<EventId>,
 ) -> Result<ResponseStream, SendFailure> {
-    let sent = request.schedule(true).await?;
-    let run = request.start(sent, last).await?;
+    let scheduled = request.schedule(true).await?;
+    let run = request.start(scheduled, last).await?;
     let (run, started) = request.await_response(run).await?;
     let ResponseStart { head, response, body } = started;
     request.check_response(&run.endpoint, &response, head.status)?;
--- a/crates/ringbend-relay/src/suspect_store.rs
+++ b/crates/ringbend-relay/src/suspect_store.rs
@@ -11,7 +11,7 @@
 use ringbend_gateway::Suspicion;
 use ringbend_types::{Fingerprint, Timestamp};
 use ringbend_wire::{
-    Message, Suspicion as ToldSuspicion, WireError, decode_suspicion, encode_suspicion,
+    Message, Suspicion as EncodedSuspicion, WireError, decode_suspicion, encode_suspicion,
 };
 
 use crate::node::Node;
@@ -52,7 +52,7 @@
 }
 
 /// Loads the suspects from other instances or from the store.
-pub(crate) async fn learn_suspects(node: Rc<Node>) {
+pub(crate) async fn load_suspects(node: Rc<Node>) {
     if node.cfg.borrow().listen.peers.is_some() {
         wait_for_peers(&node).await;
     }
@@ -74,8 +74,8 @@
     let started_at = node.clock.now();
     while !node.knows_suspects.get() {
         let waited = node.clock.now().since(started_at);
-        let longest = if node.is_scheduler() { PEER_WAIT } else { MEMBER_PEER_WAIT };
-        if waited >= longest {
+        let max_wait = if node.is_scheduler() { PEER_WAIT } else { MEMBER_PEER_WAIT };
+        if waited >= max_wait {
             return;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -83,20 +83,20 @@
 }
 
 /// Parses the key of a claim.
-fn claim_of(key: &str) -> Option<(Fingerprint, u8)> {
+fn parse_claim_key(key: &str) -> Option<(Fingerprint, u8)> {
     let (fingerprint, number) = key.split_once(CLAIM_SEPARATOR)?;
     Some((fingerprint.parse().ok()?, number.parse().ok()?))
 }
 
 fn parse_stored_suspicion(value: &Bytes) -> Result<Suspicion, WireError> {
-    decode_suspicion(&ToldSuspicion::decode(value.clone())?)
+    decode_suspicion(&EncodedSuspicion::decode(value.clone())?)
 }
 
 impl Node {
     /// Applies a stored row. Rows are ordered by key, so a request precedes its claims.
     fn apply_stored_row(&self, row: &DurableRow) {
         let now = self.clock.now();
-        if let Some((fingerprint, number)) = claim_of(&row.key) {
+        if let Some((fingerprint, number)) = parse_claim_key(&row.key) {
             self.quarantine.borrow_mut().record_try(now, fingerprint, number);
             return;
         }
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Deletes the rows of a request that was cleared. Rows that remain belong to an earlier round.
+    /// Deletes the rows of a request that was cleared. Rows that a failed call leaves
+    /// behind belong to an earlier round.
     pub(crate) fn delete_suspect(self: &Rc<Self>, fingerprint: Fingerprint) {
         let node = self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/ringbend-relay/src/timeouts.rs
+++ b/crates/ringbend-relay/src/timeouts.rs
@@ -36,12 +36,12 @@
         if !self.may_rerun() {
             return deadline;
         }
-        let least = if self.config.route.streaming {
+        let min_silence = if self.config.route.streaming {
             FIRST_EVENT_SILENCE_TIMEOUT
         } else {
             PLAIN_SILENCE_TIMEOUT
         };
-        let limit = (self.config.route.aim * 2).max(least).max(expected * EXPECTED_FACTOR);
+        let limit = (self.config.route.aim * 2).max(min_silence).max(expected * EXPECTED_FACTOR);
         deadline.min(self.node.clock.now() + limit)
     }
 
@@ -56,17 +56,18 @@
         self.prefill_time() > MAX_RERUN_PREFILL
     }
 
-    /// Waits until `by`, and then until the deadline if no other run can replace this one.
+    /// Waits until `silence_deadline`, and then until the request's deadline if no other run can
+    /// replace this one.
     pub(crate) async fn wait_or_replace<T>(
         &mut self,
         dependencies: &[Endpoint],
-        by: Timestamp,
+        silence_deadline: Timestamp,
         work: impl Future<Output = Result<T, ExchangeError>>,
     ) -> Result<T, RunError> {
         let mut work = std::pin::pin!(work);
         let deadline = self.attempts.deadline();
-        if by < deadline {
-            match self.run_until(dependencies, by, &mut work).await {
+        if silence_deadline < deadline {
+            match self.run_until(dependencies, silence_deadline, &mut work).await {
                 Err(RunError::Late) if self.replace_silent() => return Err(RunError::Replaced),
                 Err(RunError::Late) => {}
                 done => return done,
@@ -81,8 +82,8 @@
         !self.is_trial && self.streaming_since.is_none()
     }
 
-    /// Whether a silent send is replaced by another one. Once it is too late for another send, the
-    /// silent one is the caller's only chance.
+    /// Decides whether another send replaces a silent one, and charges it to the retry budget if
+    /// so. Once it is too late for another send, only the silent one can still respond.
     fn replace_silent(&mut self) -> bool {
         if self.is_too_late_to_send() {
             return false;
@@ -92,25 +93,25 @@
         self.attempts.replace_silent(now, &self.config.service.name, budget)
     }
 
-    /// Takes a hedge from the retry budget, if it allows one.
+    /// Charges a hedge to the retry budget. Returns false if the budget does not allow it.
     pub(crate) fn begin_hedge(&mut self) -> bool {
         let now = self.node.clock.now();
         let budget = &mut self.node.budget.borrow_mut();
         self.attempts.begin_hedge(now, &self.config.service.name, budget)
     }
 
-    /// Waits until `by`, or until the process of an endpoint that the work depends on has ended.
+    /// Waits until `until`, or until the process of an endpoint that the work depends on has ended.
     /// The first endpoint is the one that the request was sent to.
     pub(crate) async fn run_until<T>(
         &self,
         dependencies: &[Endpoint],
-        by: Timestamp,
+        until: Timestamp,
         work: impl Future<Output = Result<T, ExchangeError>>,
     ) -> Result<T, RunError> {
         let done = tokio::select! {
             biased;
             done = work => done.map_err(RunError::Exchange),
-            () = self.node.clock.sleep_until(by) => Err(RunError::Late),
+            () = self.node.clock.sleep_until(until) => Err(RunError::Late),
             () = self.node.wait_until_ended(dependencies) => Err(RunError::Ended),
             () = self.node.wait_until_held(self.original.fingerprint), if self.is_cancelled_when_held() => {
                 Err(RunError::Held)
