--- a/crates/ringbend-relay/src/admin.rs
+++ b/crates/ringbend-relay/src/admin.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// Lists suspected and held requests; each of them is cleared through a path below.
+/// Path that lists suspected and held requests. A request is cleared through
+/// `/v1/suspects/{fingerprint}/clear`.
 const SUSPECTS_PATH: &str = "/v1/suspects";
 
 /// The suffix of the path that clears a request.
@@ -68,7 +69,7 @@
         quarantine.suspicions().map(entry).collect()
     }
 
-    /// Clears a request on all instances, like a run that ends well.
+    /// Clears a request on all instances, like a run that succeeds.
     fn clear(&self, rest: &str) -> HttpResponse {
         let named = rest.strip_prefix('/').and_then(|rest| rest.strip_suffix(CLEAR_SUFFIX));
         let Some(fingerprint) = named.and_then(|name| name.parse::<Fingerprint>().ok()) else {
@@ -77,7 +78,7 @@
         if self.node.quarantine.borrow().strikes(fingerprint) == 0 {
             return empty(StatusCode::NOT_FOUND);
         }
-        log::info!(target: "suspects", fingerprint:% = fingerprint; "cleared by an operator");
+        log::info!(target: "suspects", fingerprint:% = fingerprint; "suspect cleared by an operator");
         self.node.clear_suspect(fingerprint);
         json(StatusCode::OK, &self.suspects())
     }
--- a/crates/ringbend-relay/src/crashes.rs
+++ b/crates/ringbend-relay/src/crashes.rs
@@ -4,8 +4,8 @@
 //! engines are shut down. The end of a process is proved if its address refuses connections right
 //! after one broke, or by a later message of the process itself or of its successor. Without such
 //! proof the request is not blamed: a missed strike costs one more engine, while a wrong one may
-//! hold up a harmless request. A process that leaves is expected to end, so its end is no strike
-//! either.
+//! cause a harmless request to be held. An endpoint that is leaving is expected to end, so its end
+//! is no strike either.
 //!
 //! Only the end of the endpoint that a request was sent to counts, not that of the helpers that
 //! prefill part of a long prompt. A request that crashes every engine that starts it also crashes
@@ -47,7 +47,7 @@
 /// that crash their engine do so within a tenth of a second after they have started, and one that
 /// has been queued at the engine for longer than this did not crash it. The limit keeps the number
 /// of probes small: one connection for each caller that disconnects before most responses begin.
-const MAX_HASTY_ABANDON: Duration = Duration::from_millis(400);
+const EARLY_ABANDON_TIME: Duration = Duration::from_millis(400);
 
 /// Delay between a caller's disconnect and the probe of its endpoint; longer than a request takes
 /// to crash its engine.
@@ -91,7 +91,7 @@
 
 impl Drop for AbandonGuard {
     fn drop(&mut self) {
-        let was_abandoned_early = self.node.clock.now().since(self.sent_at) < MAX_HASTY_ABANDON;
+        let was_abandoned_early = self.node.clock.now().since(self.sent_at) < EARLY_ABANDON_TIME;
         if !self.is_armed || !was_abandoned_early {
             return;
         }
@@ -127,7 +127,8 @@
         let until = now + PROBE_TIMEOUT;
         while self.clock.now() < until {
             tokio::time::sleep(Duration::from_millis(1)).await;
-            if let Some(found) = self.probes.borrow().0.get(&address).and_then(|l| l.found) {
+            if let Some(found) = self.probes.borrow().0.get(&address).and_then(|probe| probe.found)
+            {
                 return found;
             }
         }
--- a/crates/ringbend-relay/src/discovery.rs
+++ b/crates/ringbend-relay/src/discovery.rs
@@ -51,8 +51,8 @@
     let Some(own) = node.peers_address() else { return };
     let at_own_port = |seed: &SocketAddrV4| SocketAddrV4::new(*seed.ip(), own.port());
     let seeds: Vec<SocketAddrV4> = seeds.iter().map(at_own_port).collect();
-    for pause in SEED_GREETING_DELAYS {
-        tokio::time::sleep(pause).await;
+    for delay in SEED_GREETING_DELAYS {
+        tokio::time::sleep(delay).await;
         node.greet(&seeds);
     }
 }
@@ -85,20 +85,22 @@
     log::info!(target: "peers", instances, schedules; "discovery complete");
 }
 
-/// Whether other instances schedule for this one, so that it need not be found.
+/// Whether other instances schedule for this one, so that it needs no registry entry.
 fn is_member(node: &Node) -> bool {
     node.peers.borrow().role() == Role::Member
 }
 
-/// Whether an instance of this data centre is known. An instance of another data centre that was
-/// asked while it was starting does not name those here, and sends this one nothing more.
+/// Whether another instance of this data centre is known. Instances of other data centres do not
+/// count: one that was greeted while it was starting does not name the instances here, and sends
+/// this one nothing more.
 fn knows_local_instances(node: &Node) -> bool {
     node.peers.borrow().local_instances(node.clock.now()) > 1
 }
 
-/// Only schedulers need an entry: an instance that starts contacts the best-ranked registered ones,
-/// and learns of the others from them. An instance that was killed finds its own and the others'
-/// entries unchanged, so one call is enough after the loss of all instances.
+/// Contacts the registered instances, and writes this instance's entry if it needs one. Only
+/// schedulers do: an instance that starts contacts the best-ranked registered ones, and learns of
+/// the others from them. An instance that was killed finds its own and the others' entries
+/// unchanged, so one call is enough after the loss of all instances.
 async fn register(node: &Rc<Node>, registry: &dyn InstanceRegistry) -> Result<(), SourceError> {
     let Some(address) = node.peers_address() else { return Ok(()) };
     if !knows_local_instances(node) {
@@ -144,8 +146,8 @@
 fn schedule_if_needed(node: &Node) {
     let is_needed = {
         let (rows, home) = (node.registry_records.borrow(), &node.cfg.borrow().data_centre);
-        let standings = rows.iter().filter(|row| is_in_data_centre(row, home));
-        node.peers.borrow().is_needed_beside(standings.map(standing))
+        let ranks = rows.iter().filter(|row| is_in_data_centre(row, home));
+        node.peers.borrow().is_needed_beside(ranks.map(rank_of))
     };
     if is_needed && node.peers.borrow().role() == Role::Starting {
         node.peers.borrow_mut().become_scheduler();
@@ -192,15 +194,15 @@
     row.data_centre.as_ref().is_none_or(|centre| centre == home)
 }
 
-fn standing(row: &InstanceRecord) -> InstanceRank {
+fn rank_of(row: &InstanceRecord) -> InstanceRank {
     InstanceRank::new(row.capacity, row.address)
 }
 
 /// The addresses in order of rank, highest first.
 fn ranked_addresses<'a>(rows: impl Iterator<Item = &'a InstanceRecord>) -> Vec<SocketAddrV4> {
-    let mut all: Vec<InstanceRank> = rows.map(standing).collect();
+    let mut all: Vec<InstanceRank> = rows.map(rank_of).collect();
     all.sort();
-    all.into_iter().map(|standing| standing.address()).collect()
+    all.into_iter().map(|rank| rank.address()).collect()
 }
 
 impl Node {
--- a/crates/ringbend-relay/src/engine_pace.rs
+++ b/crates/ringbend-relay/src/engine_pace.rs
@@ -33,25 +33,25 @@
 const MAX_REPORT_BYTES: usize = 64 << 10;
 
 /// A pause between events is long if it exceeds the duration of an engine pass without prefill by
-/// this factor. The engine is queried after `LONG_PAUSES` long pauses in a row, as a single one may
-/// be due to the prefill of a long prompt.
-const LONG_PAUSE: f64 = 2.0;
+/// this factor.
+const LONG_PAUSE_FACTOR: f64 = 2.0;
 
-/// Number of consecutive long pauses.
-const LONG_PAUSES: u32 = 3;
+/// Number of consecutive long pauses after which the engine is queried. A single one may be due to
+/// the prefill of a long prompt.
+const LONG_PAUSES_BEFORE_QUERY: u32 = 3;
 
 /// Counts consecutive long pauses of a stream.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LongPauseCounter {
-    long: u32,
+    consecutive: u32,
 }
 
 impl LongPauseCounter {
     /// Records a pause. Returns whether the engine should be queried.
-    fn note(&mut self, pause: Duration, pass_ms: f64) -> bool {
-        let is_long = pause.as_secs_f64() * 1e3 > pass_ms * LONG_PAUSE;
-        self.long = if is_long { self.long + 1 } else { 0 };
-        is_long && self.long.is_multiple_of(LONG_PAUSES)
+    fn record(&mut self, pause: Duration, pass_ms: f64) -> bool {
+        let is_long = pause.as_secs_f64() * 1e3 > pass_ms * LONG_PAUSE_FACTOR;
+        self.consecutive = if is_long { self.consecutive + 1 } else { 0 };
+        is_long && self.consecutive.is_multiple_of(LONG_PAUSES_BEFORE_QUERY)
     }
 }
 
@@ -63,9 +63,9 @@
         overdue_at: Timestamp,
         work: W,
     ) -> impl Future<Output = T> + use<T, W> {
-        let on_engines = self.config.service.engine.is_some();
+        let runs_on_engines = self.config.service.engine.is_some();
         let dependencies =
-            dependencies.iter().filter(|_| on_engines).map(|endpoint| endpoint.id.clone());
+            dependencies.iter().filter(|_| runs_on_engines).map(|endpoint| endpoint.id.clone());
         let (node, engines) =
             (self.node.clone(), dependencies.collect::<SmallVec<[EndpointId; 4]>>());
         async move {
@@ -83,7 +83,7 @@
     /// Records a pause of the stream, and suspects its engine after several long pauses.
     pub(crate) fn record_pause(&mut self, engine: &EndpointId, pause: Duration) {
         let Some(profile) = self.config.service.engine else { return };
-        if self.pauses.note(pause, profile.pass_ms(profile.slots)) {
+        if self.pauses.record(pause, profile.pass_ms(profile.slots)) {
             self.node.suspect_engine(engine);
         }
     }
--- a/crates/ringbend-relay/src/gossip_receiver.rs
+++ b/crates/ringbend-relay/src/gossip_receiver.rs
@@ -52,16 +52,16 @@
         if digest.hello {
             self.reply_to_hello(from, digest);
         }
-        if let Some(own) = digest.hello_clock_us {
-            let (own, peers) = (Timestamp(own), Timestamp(digest.clock_us));
-            self.readers.borrow_mut().pair_clocks(start, own, peers);
+        if let Some(own_us) = digest.hello_clock_us {
+            let (own_time, peer_time) = (Timestamp(own_us), Timestamp(digest.clock_us));
+            self.readers.borrow_mut().pair_clocks(start, own_time, peer_time);
         }
         self.merge_suspicions(digest, decode_role(digest) == Role::Scheduler);
         self.merge_limits(digest, decode_role(digest) == Role::Scheduler);
         self.merge_drains(digest, decode_role(digest) == Role::Scheduler);
         self.apply_work(now, from, digest);
-        for start in &digest.gone {
-            self.load.borrow_mut().forget_instance(now, *start);
+        for incarnation in &digest.gone {
+            self.load.borrow_mut().forget_instance(now, *incarnation);
         }
         self.apply_unfit(now, &digest.unfit);
         self.apply_restarts(digest);
@@ -80,12 +80,12 @@
         if let Ok(data_centre) = digest.data_centre.parse() {
             self.peers.borrow_mut().describe(from, data_centre, digest.capacity);
         }
-        let part = PeerStatus {
+        let status = PeerStatus {
             role: decode_role(digest),
             instances: digest.instances as usize,
             fleet: digest.fleet as usize,
         };
-        self.peers.borrow_mut().set_status(from, part);
+        self.peers.borrow_mut().set_status(from, status);
         if digest.call_up && !self.is_scheduler() {
             log::info!(target: "peers", peer:% = from; "asked to become a scheduler");
             self.peers.borrow_mut().become_scheduler();
@@ -93,11 +93,11 @@
         }
         self.review_role();
         if let PeerObservation::New { replaced } = observation {
-            log::info!(target: "peers", peer:% = from, start, role:? = part.role; "new peer");
+            log::info!(target: "peers", peer:% = from, start, role:? = status.role; "new peer");
             if let Some(replaced) = replaced {
                 self.forget_incarnation(replaced);
             }
-            // The reply pairs the two clocks.
+            // The reply lets this instance convert the times that the peer reports.
             self.send_hello(from);
         }
     }
@@ -160,31 +160,35 @@
 
     fn reply_to_hello(&self, from: SocketAddrV4, hello: &LoadDigest) {
         let schedules = decode_role(hello) == Role::Scheduler;
-        let answer = LoadDigest {
+        let reply = LoadDigest {
             hello_clock_us: Some(hello.clock_us),
             peers: self.schedulers_except(from, schedules),
             ..self.introduction()
         };
         let work = if schedules { self.work_of_data_centre() } else { Vec::new() };
-        let known = self
+        let snapshots = self
             .limit_snapshot()
             .into_iter()
             .chain(self.drain_snapshot())
             .chain(self.suspect_snapshot());
-        for digest in self.pack_work(answer, work).into_iter().chain(known) {
+        for digest in self.pack_work(reply, work).into_iter().chain(snapshots) {
             self.send_digest(&digest, from);
         }
     }
 
-    /// The addresses of the schedulers of all data centres, or of this one, without `one`.
-    fn schedulers_except(&self, one: SocketAddrV4, of_all: bool) -> Vec<String> {
+    /// The addresses of the schedulers of this data centre, or of all data centres, without
+    /// `excluded`.
+    fn schedulers_except(&self, excluded: SocketAddrV4, all_data_centres: bool) -> Vec<String> {
         let (now, peers) = (self.clock.now(), self.peers.borrow());
-        let named =
-            if of_all { peers.other_schedulers(now) } else { peers.local_schedulers(now).to_vec() };
-        named.into_iter().filter(|a| *a != one).map(|a| a.to_string()).collect()
+        let named = if all_data_centres {
+            peers.other_schedulers(now)
+        } else {
+            peers.local_schedulers(now).to_vec()
+        };
+        named.into_iter().filter(|a| *a != excluded).map(|a| a.to_string()).collect()
     }
 
-    /// Greets instances named by another one, unless they are known already.
+    /// Greets instances that another one named, unless they are known already.
     fn greet_named(&self, named: &[String]) {
         let mut addresses: Vec<SocketAddrV4> = Vec::new();
         for address in named {
@@ -260,8 +264,8 @@
     /// another one reports its owner's work as well; the first reporter remains in place as long as
     /// it is alive.
     fn record_reporter(&self, now: Timestamp, owner: u64, from: SocketAddrV4) {
-        let before = self.placement_grants.borrow().reporter(owner);
-        if before.is_none_or(|before| !self.peers.borrow().is_alive(now, before)) {
+        let previous = self.placement_grants.borrow().reporter(owner);
+        if previous.is_none_or(|previous| !self.peers.borrow().is_alive(now, previous)) {
             self.placement_grants.borrow_mut().record_reported_by(owner, from);
         }
     }
--- a/crates/ringbend-relay/src/gossip_sender.rs
+++ b/crates/ringbend-relay/src/gossip_sender.rs
@@ -84,8 +84,8 @@
         let now = self.node.clock.now();
         self.last_sent.scheduler.set(None);
         let has_news = self.is_update_due(now) || changes.is_some();
-        let suspects_at_home = !outbox.local_suspicions.is_empty();
-        let has_news = has_news || suspects_at_home || !outbox.local_limits.is_empty();
+        let has_local_suspicions = !outbox.local_suspicions.is_empty();
+        let has_news = has_news || has_local_suspicions || !outbox.local_limits.is_empty();
         let has_news = has_news || !outbox.local_drains.is_empty();
         let first = LoadDigest {
             suspicions: self.node.suspicion_updates(&outbox.suspicions, now),
@@ -100,8 +100,9 @@
         };
         let has_news = has_news || !first.restarts.is_empty();
         let work = self.node.work_updates(outbox);
-        let is_quiet = first.unfit.is_empty() && first.gone.is_empty() && first.paces.is_empty();
-        if !has_news && work.is_empty() && is_quiet {
+        let has_no_other_updates =
+            first.unfit.is_empty() && first.gone.is_empty() && first.paces.is_empty();
+        if !has_news && work.is_empty() && has_no_other_updates {
             return;
         }
         let other_schedulers = self.node.peers.borrow().other_schedulers(now);
@@ -179,13 +180,13 @@
         let LastSent { at, proved_at, config, endpoints, is_scheduler: was_scheduler, .. } =
             &self.last_sent;
         let proof = Timestamp(currency.proved_us);
-        let is_due = now.since(at.get()) >= HEARTBEAT_INTERVAL - BATCH_DELAY;
-        let is_proved = proof.since(proved_at.get()) >= MIN_PROOF_ADVANCE;
+        let is_heartbeat_due = now.since(at.get()) >= HEARTBEAT_INTERVAL - BATCH_DELAY;
+        let has_newer_proof = proof.since(proved_at.get()) >= MIN_PROOF_ADVANCE;
         let is_scheduler = self.node.is_scheduler();
         let has_changed = config.replace(currency.config_version) != currency.config_version
             || endpoints.replace(currency.endpoints_cursor) != currency.endpoints_cursor;
         let has_new_role = was_scheduler.replace(is_scheduler) != is_scheduler;
-        let has_news = is_due || is_proved || has_changed || has_new_role;
+        let has_news = is_heartbeat_due || has_newer_proof || has_changed || has_new_role;
         if has_news {
             at.set(now);
             proved_at.set(proof);
@@ -257,7 +258,7 @@
         owners.into_values().collect()
     }
 
-    /// All work placed by instances of this data centre, for an instance that becomes scheduler.
+    /// All work placed by instances of this data centre, for an instance that becomes a scheduler.
     pub(crate) fn work_of_data_centre(&self) -> Vec<OwnersWork> {
         let own = self.incarnation();
         let is_local =
--- a/crates/ringbend-relay/src/lib.rs
+++ b/crates/ringbend-relay/src/lib.rs
@@ -2,8 +2,8 @@
 //! passed through unread.
 //!
 //! Callers connect over HTTP/1.1. Each send to an endpoint uses a connection of its own. Two
-//! watches keep local copies of the configuration and endpoint tables current. Headers and the store's
-//! protocol belong to an adapter that implements [`Dialect`] and [`Source`].
+//! watches keep local copies of the configuration and endpoint tables current. Headers and the
+//! store's protocol belong to an adapter that implements [`Dialect`] and [`Source`].
 
 mod active_request;
 mod admin;
--- a/crates/ringbend-relay/src/limits.rs
+++ b/crates/ringbend-relay/src/limits.rs
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Logs an endpoint's current limit and queues it for other instances.
+    /// Logs an endpoint's current limit and queues it for the members of this data centre, and with
+    /// `for_all` for all instances.
     fn publish_limit(&self, endpoint: &EndpointId, from: &str, for_all: bool) {
         let limits = self.limits.borrow();
         let known = limits.known(endpoint);
@@ -110,12 +111,13 @@
         self.permits.borrow_mut().retain(|id| limits.known(id).is_some_and(|l| l.rate.is_some()));
         let infrequent = limits.all().filter(|known| known.rate.is_some_and(is_infrequent));
         let engines = infrequent.filter(|known| self.is_engine(directory.get(&known.endpoint)));
-        let sent_at: Vec<EndpointId> = engines.map(|known| known.endpoint.clone()).collect();
+        let queried: Vec<EndpointId> = engines.map(|known| known.endpoint.clone()).collect();
         drop((limits, directory));
         self.update_permits();
         if self.is_scheduler() {
-            let own = |id: &EndpointId| self.peers.borrow().probing_scheduler(now, id).is_none();
-            self.query_engines(sent_at.into_iter().filter(own).collect::<Vec<_>>());
+            let is_responsible =
+                |id: &EndpointId| self.peers.borrow().probing_scheduler(now, id).is_none();
+            self.query_engines(queried.into_iter().filter(is_responsible).collect::<Vec<_>>());
         }
     }
 
--- a/crates/ringbend-relay/src/peer_copies.rs
+++ b/crates/ringbend-relay/src/peer_copies.rs
@@ -135,8 +135,8 @@
     }
 }
 
-/// `None` while a later configuration is unreadable: the cursor would make the receiver skip that
-/// one.
+/// Encodes the configuration for a peer. `None` while a later configuration is unreadable: the
+/// cursor would make the receiver skip that one.
 fn config_copy(node: &Node) -> Option<Bytes> {
     if node.replica.borrow().has_unreadable() {
         return None;
@@ -154,53 +154,53 @@
     EndpointChanges { from_cursor: 0, to_cursor, rows: rows.collect() }.encode_to_vec().into()
 }
 
-fn has_newer_config(node: &Node, holds: CopyVersions) -> bool {
-    holds.config > node.replica.borrow().version().unwrap_or_default()
+fn has_newer_config(node: &Node, versions: CopyVersions) -> bool {
+    versions.config > node.replica.borrow().version().unwrap_or_default()
 }
 
-fn has_newer_endpoints(node: &Node, holds: CopyVersions) -> bool {
-    Cursor(holds.endpoints) > node.endpoints_cursor.get()
+fn has_newer_endpoints(node: &Node, versions: CopyVersions) -> bool {
+    Cursor(versions.endpoints) > node.endpoints_cursor.get()
 }
 
 /// Waits until a peer is known to have a newer configuration.
-pub(crate) async fn newer_config(node: &Node) {
-    while peers_with(node, |holds| has_newer_config(node, holds)).is_empty() {
+pub(crate) async fn wait_for_newer_config(node: &Node) {
+    while peers_with(node, |versions| has_newer_config(node, versions)).is_empty() {
         node.newer_config.notified().await;
     }
 }
 
 /// Waits until a peer is known to have newer endpoints.
-pub(crate) async fn newer_endpoints(node: &Node) {
-    while peers_with(node, |holds| has_newer_endpoints(node, holds)).is_empty() {
+pub(crate) async fn wait_for_newer_endpoints(node: &Node) {
+    while peers_with(node, |versions| has_newer_endpoints(node, versions)).is_empty() {
         node.newer_endpoints.notified().await;
     }
 }
 
 /// Fetches newer configurations from peers. Returns false if there is one that could not be fetched
 /// in time.
-pub(crate) async fn config(node: &Node) -> bool {
-    let wanted = |holds| has_newer_config(node, holds);
+pub(crate) async fn fetch_config(node: &Node) -> bool {
+    let wanted = |versions| has_newer_config(node, versions);
     fetch_from_peers(node, wanted, async |peer| fetch_config_from(node, peer).await).await
 }
 
 /// Fetches newer endpoints from peers. Returns false if there are some that could not be fetched in
 /// time.
-pub(crate) async fn endpoints(node: &Node) -> bool {
-    let wanted = |holds| has_newer_endpoints(node, holds);
+pub(crate) async fn fetch_endpoints(node: &Node) -> bool {
+    let wanted = |versions| has_newer_endpoints(node, versions);
     fetch_from_peers(node, wanted, async |peer| fetch_endpoints_from(node, peer).await).await
 }
 
 /// Fetches the first configuration from a peer, if one that has any becomes known soon.
-pub(crate) async fn first_config(node: &Node) -> bool {
-    wait_for_peer_with_copy(node, |holds| holds.config > ConfigVersion(0)).await
-        && config(node).await
+pub(crate) async fn fetch_first_config(node: &Node) -> bool {
+    wait_for_peer_with_copy(node, |versions| versions.config > ConfigVersion(0)).await
+        && fetch_config(node).await
         && node.config_cursor.get() > Cursor::default()
 }
 
 /// Fetches the first endpoints from a peer, if one that has any becomes known soon.
-pub(crate) async fn first_endpoints(node: &Node) -> bool {
-    wait_for_peer_with_copy(node, |holds| holds.endpoints > 0).await
-        && endpoints(node).await
+pub(crate) async fn fetch_first_endpoints(node: &Node) -> bool {
+    wait_for_peer_with_copy(node, |versions| versions.endpoints > 0).await
+        && fetch_endpoints(node).await
         && node.endpoints_cursor.get() > Cursor::default()
 }
 
@@ -320,8 +320,8 @@
     let item = node.config_decoder.decode(copy.row.into()).map_err(CopyError::Config)?;
     log::info!(target: "peers", peer:%, version = item.parts.version.0; "configuration fetched from peer");
     ConfigCopy.apply(node, vec![item], Cursor(copy.cursor));
-    // A copy proves nothing. The peer's message that it is current arrived before the copy, and
-    // would be repeated only with the next heartbeat.
+    // The copy does not prove that it is current. The peer's digest that says so arrived before the
+    // copy and would be repeated only with the next heartbeat, so a hello requests it now.
     node.send_hello(peer);
     Ok(())
 }
--- a/crates/ringbend-relay/src/peer_socket.rs
+++ b/crates/ringbend-relay/src/peer_socket.rs
@@ -11,7 +11,8 @@
 use crate::node::Node;
 use crate::table_gossip::currency;
 
-/// How long the end of a request may be delayed to batch it with others. New work is sent at once.
+/// How long updates such as the end of a request may be delayed to be batched with others. New work
+/// is sent at once.
 pub(crate) const BATCH_DELAY: Duration = Duration::from_millis(15);
 
 /// Maximum size of a received datagram, in bytes.
@@ -20,9 +21,10 @@
 /// Wakes the gossip sender.
 #[derive(Default)]
 pub(crate) struct FlushSignals {
-    /// New work was placed.
+    /// New work was placed, or another update must not be delayed.
     pub(crate) immediate: Notify,
-    /// Work has started to write or has ended.
+    /// The prompt of a request was prefilled, a request has ended, or another update that may be
+    /// batched is due.
     pub(crate) batched: Notify,
 }
 
@@ -91,7 +93,7 @@
         let bytes = digest.encode_to_vec();
         match peer_socket.socket.try_send_to(&bytes, address.into()) {
             Ok(sent) => self.metrics.peer_bytes(sent as u64),
-            // The socket's buffer is full or the peer is dead. Digests are hints, so this one is
+            // The socket's buffer is full or the peer has ended. Digests are hints, so this one is
             // dropped.
             Err(e) => {
                 log::debug!(target: "peers", peer:% = address, error:% = e; "digest not sent")
--- a/crates/ringbend-relay/src/permits.rs
+++ b/crates/ringbend-relay/src/permits.rs
@@ -27,8 +27,9 @@
 /// its processor quota resumes within a tenth of a second.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// When callers should retry if no instance is limit coordinator. Another instance takes over about
-/// two seconds after the last message of the previous one, half of which has passed on average.
+/// When callers should retry if no instance is the limit coordinator. Another instance takes over
+/// about two seconds after the last message of the previous one, half of which has passed on
+/// average.
 const NO_COORDINATOR_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Endpoints that a request must not be placed on now, because of their rate limits.
@@ -61,7 +62,8 @@
 }
 
 impl Node {
-    /// Keeps counting the permits of all rate-limited endpoints, also while no request needs any.
+    /// Updates the permit counts of all rate-limited endpoints, also while no request needs a
+    /// permit.
     pub(crate) fn update_permits(&self) {
         let now = self.clock.now();
         let services: BTreeSet<ServiceName> = {
@@ -92,8 +94,8 @@
     }
 
     /// The endpoints that the request cannot get a permit for now, because none is left or other
-    /// requests are ahead in the queue. An instance that is not the coordinator offers as many
-    /// requests to the coordinator as the limit allows.
+    /// requests are ahead in the queue. An instance that is not the coordinator passes at most as
+    /// many requests to the coordinator as the limit allows.
     pub(crate) fn endpoints_without_permit(&self, id: WorkId, job: &Job) -> ClosedEndpoints {
         let service = &job.service;
         if self.limits.borrow().is_empty() || self.rate_limited_endpoints(service).is_empty() {
@@ -192,7 +194,7 @@
         engine: Option<EngineProfile>,
     ) -> Result<Placement, PlacementError> {
         let started_at = self.clock.now();
-        let waiting = PermitRequest::new(self.clone(), id, job);
+        let queued = PermitRequest::new(self.clone(), id, job);
         loop {
             match self.try_place(id, job, engine) {
                 Ok(placement) => {
@@ -206,7 +208,7 @@
             if !self.is_limit_coordinator(&job.service) {
                 return Err(PlacementError::NotCoordinator);
             }
-            let wait = self.time_until_permit(job, waiting.needed(), waiting.waiter.due)?;
+            let wait = self.time_until_permit(job, queued.needed(), queued.waiter.due)?;
             tokio::time::sleep(wait.clamp(MIN_POLL_INTERVAL, POLL_INTERVAL)).await;
         }
     }
--- a/crates/ringbend-relay/src/ports.rs
+++ b/crates/ringbend-relay/src/ports.rs
@@ -76,7 +76,7 @@
     pub body: Bytes,
 }
 
-/// What the endpoint is told in addition to the caller's own headers.
+/// Values that are sent to the endpoint in addition to the caller's own headers.
 #[derive(Debug, Clone)]
 pub struct ForwardContext {
     /// The endpoint that the request is for; another endpoint at the same address refuses it.
--- a/crates/ringbend-relay/src/scheduling.rs
+++ b/crates/ringbend-relay/src/scheduling.rs
@@ -49,8 +49,8 @@
 }
 
 impl ActiveRequest {
-    /// Places the request. With `at_once`, as for a stream that is resumed, it does not wait for its
-    /// turn.
+    /// Places the request. With `at_once`, as for a stream that is resumed, it does not wait for
+    /// its turn.
     pub(crate) async fn schedule(&self, at_once: bool) -> Result<ScheduledSend, SendFailure> {
         if self.is_held() {
             return Err(SendFailure::Held);
--- a/crates/ringbend-relay/src/sending.rs
+++ b/crates/ringbend-relay/src/sending.rs
@@ -41,6 +41,7 @@
         Ok(())
     }
 
+    /// Records that the endpoint at this address has failed, and reports it to other instances.
     pub(crate) fn record_unhealthy_address(&self, address: SocketAddrV4) {
         let directory = self.node.directory.borrow();
         let Some(endpoint) = directory.by_address(address) else { return };
--- a/crates/ringbend-relay/src/shutdown.rs
+++ b/crates/ringbend-relay/src/shutdown.rs
@@ -27,11 +27,12 @@
 /// The part of the grace time that is reserved for the process to exit by itself.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// How long before [`EXIT_RESERVE`] this instance writes the last responses of its own. A write to a
-/// caller takes some milliseconds, and the processor may be busy with all of them at once.
+/// How long before [`EXIT_RESERVE`] this instance writes the last responses of its own. A write to
+/// a caller takes some milliseconds, and the processor may be busy with all of them at once.
 const LAST_RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// How long before [`EXIT_RESERVE`] the last requests are sent to endpoints.
+/// How long before [`EXIT_RESERVE`] the last requests are sent to endpoints, in addition to the
+/// shortest time that their responses take.
 const LAST_SEND_MARGIN: Duration = Duration::from_millis(200);
 
 /// Timeout of removing this instance's registry entry. An entry that remains is only an address at
@@ -136,7 +137,7 @@
             Ok(Ok(())) => {}
             Ok(Err(e)) => log::info!(target: "peers", error:% = e; "deregistration failed"),
             Err(_) => {
-                log::info!(target: "peers", time_ms:? = DEREGISTER_TIMEOUT.as_millis(); "deregistration failed")
+                log::info!(target: "peers", time_ms:? = DEREGISTER_TIMEOUT.as_millis(); "deregistration timed out")
             }
         }
     }
--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -27,15 +27,15 @@
 }
 
 impl Node {
-    /// Processes the signals of a response to a request that was sent at `sent`.
+    /// Processes the signals in the response to a request that was sent at `sent_at`.
     pub(crate) fn apply_signals(
         &self,
         endpoint: &Endpoint,
-        sent: Timestamp,
+        sent_at: Timestamp,
         signals: &EndpointSignals,
         from: LimitSource,
     ) {
-        self.record_limit_signal(endpoint, sent, signals.limit, from);
+        self.record_limit_signal(endpoint, sent_at, signals.limit, from);
         match signals.draining {
             Signal::Present(_) => {
                 let (id, start) = (endpoint.id.clone(), endpoint.start);
@@ -49,7 +49,7 @@
             Signal::Malformed(why) => self.log_malformed(endpoint, "retry-after", why),
             // A response to a report request does not imply that the endpoint accepts requests.
             Signal::Absent if from == LimitSource::Response && !signals.rejected => {
-                self.end_backoff(endpoint, sent);
+                self.end_backoff(endpoint, sent_at);
             }
             Signal::Absent => {}
         }
@@ -61,6 +61,8 @@
         }
     }
 
+    /// Records that an endpoint is draining and queues this for the members of this data centre,
+    /// and with `for_all` for all instances.
     fn record_drain(&self, drain: Drain, from: &str, for_all: bool) {
         let (endpoint, now) = (drain.endpoint.clone(), self.clock.now());
         if !self.directory.borrow_mut().note_drain(now, drain) {
@@ -118,9 +120,9 @@
         self.metrics.endpoint_backoffs.set(backing_off as i64);
     }
 
-    fn end_backoff(&self, endpoint: &Endpoint, sent: Timestamp) {
+    fn end_backoff(&self, endpoint: &Endpoint, sent_at: Timestamp) {
         let mut backoffs = self.backoffs.borrow_mut();
-        if backoffs.taken(sent, endpoint) {
+        if backoffs.taken(sent_at, endpoint) {
             log::info!(target: "endpoints", endpoint:% = endpoint.id; "back-off ended");
             self.metrics.endpoint_backoffs.set(backoffs.len() as i64);
         }
--- a/crates/ringbend-relay/src/suspects.rs
+++ b/crates/ringbend-relay/src/suspects.rs
@@ -16,14 +16,14 @@
 /// Maximum number of suspects per datagram, so that it stays well below the receive buffer.
 const MAX_PER_DATAGRAM: usize = 64;
 
-/// Interval between checks whether a suspect still runs elsewhere. A run that ends well takes at
+/// Interval between checks whether a suspect still runs elsewhere. A run that succeeds takes at
 /// least some tens of milliseconds.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long after one run of a suspect the next one is sent if the first has not ended. A suspect
 /// that crashes its engine does so within a third of this time. One that hangs, or whose instance
 /// is frozen, must not block all callers that send the same request. Waiting runs are sent one by
-/// one, or at once when one of them has ended well.
+/// one, or at once when one of them has succeeded.
 const CONCURRENT_RUN_DELAY: Duration = Duration::from_millis(250);
 
 /// How long a suspect with two strikes waits for an arbiter. Asking three schedulers in turn takes
@@ -39,7 +39,7 @@
     }
 
     /// Logs the current state of a suspected request, marks its runs on this instance and queues
-    /// the state for other instances.
+    /// the state for the members of this data centre, and with `for_all` for all instances.
     pub(crate) fn publish_suspect(&self, fingerprint: Fingerprint, for_all: bool) {
         let state = self.suspect_state(fingerprint);
         let known = self.quarantine.borrow().get(fingerprint).cloned();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Records that a run of the request ended well.
+    /// Records that a run of the request succeeded.
     pub(crate) fn clear_suspect(self: &Rc<Self>, fingerprint: Fingerprint) {
         let was_severe = self.quarantine.borrow().get(fingerprint).is_some_and(|s| s.is_severe());
         if self.quarantine.borrow_mut().clear(self.clock.now(), fingerprint) {
@@ -110,8 +110,8 @@
     /// instances, those from a scheduler to the members.
     pub(crate) fn merge_suspicions(&self, digest: &LoadDigest, from_scheduler: bool) {
         let now = self.clock.now();
-        for told in &digest.suspicions {
-            match decode_suspicion(told) {
+        for encoded in &digest.suspicions {
+            match decode_suspicion(encoded) {
                 Ok(suspicion) => {
                     if self.quarantine.borrow_mut().merge(now, &suspicion) {
                         self.publish_suspect(suspicion.fingerprint, !from_scheduler);
@@ -182,8 +182,8 @@
                     let next = |peers: &Peers, now, asked: &[SocketAddrV4]| {
                         peers.arbiter(now, &job.service, asked).and_then(Arbiter::address)
                     };
-                    if let Some(answer) = self.request_placement(id, job, next).await {
-                        return answer;
+                    if let Some(result) = self.request_placement(id, job, next).await {
+                        return result;
                     }
                 }
                 None => {}
--- a/crates/ringbend-relay/src/table_copies.rs
+++ b/crates/ringbend-relay/src/table_copies.rs
@@ -102,15 +102,15 @@
 
     /// Also while this instance reads the store: its call may hang while those of others succeed.
     async fn wait_for_newer(&self, node: &Node) {
-        peer_copies::newer_config(node).await;
+        peer_copies::wait_for_newer_config(node).await;
     }
 
     async fn fetch_newer(&self, node: &Node) -> bool {
-        peer_copies::config(node).await
+        peer_copies::fetch_config(node).await
     }
 
-    /// Calls for this table wait for a second at most.
-    async fn overtaken(&self, _: &Node, _: Cursor) {
+    /// Never completes: calls for this table wait for a second at most.
+    async fn wait_until_overtaken(&self, _: &Node, _: Cursor) {
         std::future::pending().await
     }
 
@@ -119,7 +119,7 @@
     }
 
     async fn first_copy(&self, node: &Node) -> Option<Cursor> {
-        peer_copies::first_config(node).await.then(|| node.config_cursor.get())
+        peer_copies::fetch_first_config(node).await.then(|| node.config_cursor.get())
     }
 
     fn record_invalid_row(&self, node: &Node) {
@@ -159,7 +159,7 @@
 pub(crate) fn apply_endpoints(node: &Node, changes: Vec<EndpointChange>, cursor: Cursor) {
     let now = node.clock.now();
     for change in changes {
-        EndpointCopy::log(&change);
+        EndpointCopy::log_change(&change);
         let ended = node.directory.borrow_mut().apply(now, change);
         node.handle_ended_endpoints(&ended);
     }
@@ -169,7 +169,7 @@
 }
 
 impl EndpointCopy {
-    fn log(change: &EndpointChange) {
+    fn log_change(change: &EndpointChange) {
         match change {
             EndpointChange::Present(e) => {
                 let (id, service, leaving) = (&e.id, &e.service, e.leaving);
@@ -242,26 +242,26 @@
         while node.readers.borrow().reads() {
             node.stopped_reading.notified().await;
         }
-        peer_copies::newer_endpoints(node).await;
+        peer_copies::wait_for_newer_endpoints(node).await;
     }
 
     async fn fetch_newer(&self, node: &Node) -> bool {
-        node.readers.borrow().reads() || peer_copies::endpoints(node).await
+        node.readers.borrow().reads() || peer_copies::fetch_endpoints(node).await
     }
 
     /// The store numbers the changes of all its tables together, and responds at once when there is
     /// one. If a call is still open well after a read of another table has passed its position, its
     /// response may be lost.
-    async fn overtaken(&self, node: &Node, from: Cursor) {
+    async fn wait_until_overtaken(&self, node: &Node, from: Cursor) {
         loop {
-            let mut read = std::pin::pin!(node.store_read.notified());
+            let mut notified = std::pin::pin!(node.store_read.notified());
             // Registered before the check, so that no notification in between is missed.
-            read.as_mut().enable();
+            notified.as_mut().enable();
             if node.config_cursor.get() > from {
                 tokio::time::sleep(OVERTAKEN_GRACE).await;
                 return;
             }
-            read.await;
+            notified.await;
         }
     }
 
@@ -270,7 +270,7 @@
     }
 
     async fn first_copy(&self, node: &Node) -> Option<Cursor> {
-        peer_copies::first_endpoints(node).await.then(|| node.endpoints_cursor.get())
+        peer_copies::fetch_first_endpoints(node).await.then(|| node.endpoints_cursor.get())
     }
 
     fn record_invalid_row(&self, _: &Node) {}
--- a/crates/ringbend-relay/src/table_gossip.rs
+++ b/crates/ringbend-relay/src/table_gossip.rs
@@ -104,7 +104,7 @@
 
 fn apply_currency(node: &Node, now: Timestamp, incarnation: u64, currency: &Currency) {
     let proved_at = node.readers.borrow().to_own_clock(incarnation, Timestamp(currency.proved_us));
-    // Without a pairing of the clocks the message proves nothing.
+    // Until the clocks are paired, the peer's time cannot be converted and proves nothing.
     let Some(proved_at) = proved_at.filter(|at| *at <= now) else { return };
     let version = ConfigVersion(currency.config_version);
     let before = node.replica.borrow().proved_at().unwrap_or_default();
--- a/crates/ringbend-relay/src/watch.rs
+++ b/crates/ringbend-relay/src/watch.rs
@@ -62,9 +62,10 @@
 
     /// Waits until, judging by other calls, a call for changes after `from` should have been
     /// answered.
-    async fn overtaken(&self, node: &Node, from: Cursor);
+    async fn wait_until_overtaken(&self, node: &Node, from: Cursor);
 
-    /// Records that the copy was current.
+    /// Records that the copy was current. `paired` means that the call did not wait, so that its
+    /// times relate the store's clock to this instance's.
     fn prove(&self, node: &Node, proof: Proof, paired: bool);
 
     /// Records that the store is available again.
@@ -145,7 +146,7 @@
             let response = tokio::select! {
                 response = call => response,
                 () = self.copy.wait_for_newer(&self.node), if is_up_to_date => continue,
-                () = self.copy.overtaken(&self.node, cursor), if !wait.is_zero() => {
+                () = self.copy.wait_until_overtaken(&self.node, cursor), if !wait.is_zero() => {
                     log::info!(target: "store", table = C::NAME, cursor = cursor.0; "response overtaken by another read; calling again");
                     is_overtaken = true;
                     continue;
@@ -183,12 +184,12 @@
     /// Whether a response is no older than what is `known` of the table from the store or from
     /// other instances. An older one reflects an earlier state and proves nothing.
     fn is_latest(&self, cursor: Cursor, known: Cursor) -> bool {
-        let latest = cursor >= known;
-        if !latest {
+        let is_latest = cursor >= known;
+        if !is_latest {
             let (cursor, known) = (cursor.0, known.0);
             log::warn!(target: "store", table = C::NAME, cursor, known; "response is older than the copy");
         }
-        latest
+        is_latest
     }
 
     /// Records that the response to a call with this wait showed the table as of `cursor`.
@@ -232,10 +233,10 @@
             self.lost_at = Some(self.node.clock.now());
             log::warn!(target: "store", table = C::NAME, error:% = e; "store unavailable");
         }
-        let pause = self.next_delay();
+        let delay = self.next_delay();
         if C::DETECTS_OUTAGES || self.node.store_lost_at.get().is_none() {
             tokio::select! {
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(delay) => {}
                 () = self.copy.wait_for_newer(&self.node) => {}
             }
             return;
@@ -257,8 +258,8 @@
 }
 
 async fn with_timeout<T>(
-    time: Duration,
+    timeout: Duration,
     call: impl Future<Output = Result<T, SourceError>>,
 ) -> Result<T, SourceError> {
-    tokio::time::timeout(time, call).await.unwrap_or(Err(SourceError::TimedOut))
+    tokio::time::timeout(timeout, call).await.unwrap_or(Err(SourceError::TimedOut))
 }
