--- a/crates/ringbend-relay/src/node.rs
+++ b/crates/ringbend-relay/src/node.rs
@@ -206,22 +206,22 @@
     /// Whether the load balancer should send new callers to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         let age = self.replica.borrow().age(self.clock.now());
-        let has_state = !self.directory.borrow().is_empty() && self.may_serve_without_suspects();
+        let has_state = !self.directory.borrow().is_empty() && self.is_suspects_wait_over();
         self.stopping_since.get().is_none()
             && has_state
             && age.is_some_and(|age| age < MAX_READY_CONFIG_AGE)
     }
 
-    /// Whether a configuration that was verified as current at least once, and endpoints, are
-    /// available.
+    /// Whether this instance has endpoints and a configuration that was proved current at least
+    /// once, and the wait for the suspects is over.
     pub(crate) fn has_initial_state(&self) -> bool {
-        let proved = self.replica.borrow().proved_at().is_some();
-        proved && !self.directory.borrow().is_empty() && self.may_serve_without_suspects()
+        let has_proof = self.replica.borrow().proved_at().is_some();
+        has_proof && !self.directory.borrow().is_empty() && self.is_suspects_wait_over()
     }
 
     /// Whether the suspects are known, or the wait for them is over because neither the store nor
     /// another instance provides them.
-    fn may_serve_without_suspects(&self) -> bool {
+    fn is_suspects_wait_over(&self) -> bool {
         let waited = self.clock.now().since(self.clock.started_at());
         self.knows_suspects.get() || waited >= SUSPECTS_WAIT
     }
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -75,8 +75,8 @@
 const READY: usize = 1;
 const METRICS: usize = 2;
 
-/// Idle timeout of callers' connections. Callers reuse a connection for less time than their own
-/// idle limit, so this one only has to exceed theirs.
+/// Idle timeout of callers' connections. Callers stop reusing an idle connection after a limit of
+/// their own, which this timeout only has to exceed.
 const KEEP_ALIVE: Duration = Duration::from_secs(90);
 
 /// Initial value of this instance's clock. Other instances report when they last verified a copy,
--- a/crates/ringbend-relay/src/reservations.rs
+++ b/crates/ringbend-relay/src/reservations.rs
@@ -38,7 +38,7 @@
 pub(crate) struct MemoryReservations {
     node: Rc<Node>,
     endpoints: Rc<Vec<ReservedEndpoint>>,
-    renewing: JoinHandle<()>,
+    renewal_task: JoinHandle<()>,
     /// When the request must have started to run.
     pub(crate) unused_until: Timestamp,
 }
@@ -52,9 +52,9 @@
     ) -> Result<Self, Reservation> {
         let endpoints = Rc::new(endpoints);
         // Created first, so that reservations are released however this function ends.
-        let renewing = tokio::task::spawn_local(renew(node.clone(), endpoints.clone()));
+        let renewal_task = tokio::task::spawn_local(renew(node.clone(), endpoints.clone()));
         let unused_until = node.clock.now() + UNUSED_RESERVATION_TIMEOUT;
-        let reservations = Self { node, endpoints, renewing, unused_until };
+        let reservations = Self { node, endpoints, renewal_task, unused_until };
         let requests = reservations.endpoints.iter().map(|reserved| {
             send_command(
                 &reservations.node,
@@ -83,7 +83,7 @@
 
 impl Drop for MemoryReservations {
     fn drop(&mut self) {
-        self.renewing.abort();
+        self.renewal_task.abort();
         let (node, endpoints) = (self.node.clone(), self.endpoints.clone());
         tokio::task::spawn_local(async move {
             let requests = endpoints.iter().map(|reserved| {
