--- a/crates/ringbend-relay/src/crashes.rs
+++ b/crates/ringbend-relay/src/crashes.rs
@@ -10,7 +10,7 @@
 //! Only the end of the endpoint that a request was sent to counts, not that of the helpers that
 //! prefill part of a long prompt. A request that crashes every engine that starts it also crashes
 //! its lead, so a lead that continues is evidence in its favour. And if many engines crash for
-//! other reasons, a long prompt would meet another one of them with each run.
+//! other reasons, each run of a long prompt is likely to involve another one of them.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -73,7 +73,7 @@
 }
 
 /// Guards a run without a response. If it is dropped in this state, the caller has disconnected.
-/// The endpoint may crash all the same, and possibly no other request runs there to notice it.
+/// The endpoint may still crash, and possibly no other request runs there that would reveal it.
 pub(crate) struct AbandonGuard {
     node: Rc<Node>,
     endpoint: Endpoint,
--- a/crates/ringbend-relay/src/gossip_receiver.rs
+++ b/crates/ringbend-relay/src/gossip_receiver.rs
@@ -130,7 +130,7 @@
         for (address, grant) in queued {
             self.send_digest(&LoadDigest { grants: vec![grant], ..self.digest() }, address);
         }
-        // The members served so far learn the other schedulers from this.
+        // Tells the members served so far which other schedulers there are.
         let now = self.clock.now();
         let peers = self.peers.borrow();
         let named = peers.local_schedulers(now).iter().map(SocketAddrV4::to_string).collect();
--- a/crates/ringbend-relay/src/gossip_sender.rs
+++ b/crates/ringbend-relay/src/gossip_sender.rs
@@ -41,7 +41,7 @@
     last_sent: LastSent,
 }
 
-fn restarts(outbox: &Outbox) -> Vec<EndpointRestart> {
+fn restart_updates(outbox: &Outbox) -> Vec<EndpointRestart> {
     outbox
         .restarts
         .iter()
@@ -93,7 +93,7 @@
             drains: self.node.drain_updates(&outbox.drains, now),
             unfit: outbox.unfit.iter().map(EndpointId::to_string).collect(),
             gone: outbox.ended_instances.clone(),
-            restarts: restarts(outbox),
+            restarts: restart_updates(outbox),
             paces: pace_updates(&outbox.paces),
             endpoint_changes: changes.clone(),
             ..self.node.digest()
@@ -114,7 +114,7 @@
         }
         let heartbeat = LoadDigest {
             endpoint_changes: changes,
-            restarts: restarts(outbox),
+            restarts: restart_updates(outbox),
             suspicions: self.node.suspicion_updates(&outbox.local_suspicions, now),
             limits: self.node.limit_updates(&outbox.local_limits, now),
             drains: self.node.drain_updates(&outbox.local_drains, now),
@@ -147,7 +147,7 @@
             let first = LoadDigest {
                 unfit: outbox.unfit.iter().map(EndpointId::to_string).collect(),
                 results: results.collect(),
-                restarts: restarts(&outbox),
+                restarts: restart_updates(&outbox),
                 suspects: outbox.slow_engines.iter().map(EndpointId::to_string).collect(),
                 suspicions: suspicions.clone(),
                 limits: limits.clone(),
--- a/crates/ringbend-relay/src/peer_copies.rs
+++ b/crates/ringbend-relay/src/peer_copies.rs
@@ -58,8 +58,8 @@
 /// Maximum delay between two attempts to fetch from peers.
 const MAX_RETRY_DELAY_MS: u64 = 40;
 
-/// How long a starting instance waits to hear of peers with copies, in milliseconds. The time is
-/// random, so that only a few of many instances that start together read the store.
+/// How long a starting instance waits for a peer with a copy to become known, in milliseconds. The
+/// time is random, so that only a few of many instances that start together read the store.
 const START_WAIT_MS: std::ops::Range<u64> = 4..60;
 
 /// How long a starting instance waits at most for the search for other instances: a slow store
--- a/crates/ringbend-relay/src/watch.rs
+++ b/crates/ringbend-relay/src/watch.rs
@@ -60,8 +60,7 @@
     /// Records that a row could not be decoded.
     fn record_invalid_row(&self, node: &Node);
 
-    /// Waits until, judging by other calls, a call for changes after `from` should have been
-    /// answered.
+    /// Waits until other reads show that a call for changes after `from` should have been answered.
     async fn wait_until_overtaken(&self, node: &Node, from: Cursor);
 
     /// Records that the copy was current. `paired` means that the call did not wait, so that its
