--- a/crates/ringbend-relay/src/gossip_sender.rs
+++ b/crates/ringbend-relay/src/gossip_sender.rs
@@ -41,7 +41,7 @@
     last_sent: LastSent,
 }
 
-fn restarts(outbox: &Outbox) -> Vec<EndpointRestart> {
+fn restart_updates(outbox: &Outbox) -> Vec<EndpointRestart> {
     outbox
         .restarts
         .iter()
@@ -84,8 +84,8 @@
         let now = self.node.clock.now();
         self.last_sent.scheduler.set(None);
         let has_news = self.is_update_due(now) || changes.is_some();
-        let suspects_at_home = !outbox.local_suspicions.is_empty();
-        let has_news = has_news || suspects_at_home || !outbox.local_limits.is_empty();
+        let has_local_suspicions = !outbox.local_suspicions.is_empty();
+        let has_news = has_news || has_local_suspicions || !outbox.local_limits.is_empty();
         let has_news = has_news || !outbox.local_drains.is_empty();
         let first = LoadDigest {
             suspicions: self.node.suspicion_updates(&outbox.suspicions, now),
@@ -93,15 +93,16 @@
             drains: self.node.drain_updates(&outbox.drains, now),
             unfit: outbox.unfit.iter().map(EndpointId::to_string).collect(),
             gone: outbox.ended_instances.clone(),
-            restarts: restarts(outbox),
+            restarts: restart_updates(outbox),
             paces: pace_updates(&outbox.paces),
             endpoint_changes: changes.clone(),
             ..self.node.digest()
         };
         let has_news = has_news || !first.restarts.is_empty();
         let work = self.node.work_updates(outbox);
-        let is_quiet = first.unfit.is_empty() && first.gone.is_empty() && first.paces.is_empty();
-        if !has_news && work.is_empty() && is_quiet {
+        let has_no_other_updates =
+            first.unfit.is_empty() && first.gone.is_empty() && first.paces.is_empty();
+        if !has_news && work.is_empty() && has_no_other_updates {
             return;
         }
         let other_schedulers = self.node.peers.borrow().other_schedulers(now);
@@ -113,7 +114,7 @@
         }
         let heartbeat = LoadDigest {
             endpoint_changes: changes,
-            restarts: restarts(outbox),
+            restarts: restart_updates(outbox),
             suspicions: self.node.suspicion_updates(&outbox.local_suspicions, now),
             limits: self.node.limit_updates(&outbox.local_limits, now),
             drains: self.node.drain_updates(&outbox.local_drains, now),
@@ -146,7 +147,7 @@
             let first = LoadDigest {
                 unfit: outbox.unfit.iter().map(EndpointId::to_string).collect(),
                 results: results.collect(),
-                restarts: restarts(&outbox),
+                restarts: restart_updates(&outbox),
                 suspects: outbox.slow_engines.iter().map(EndpointId::to_string).collect(),
                 suspicions: suspicions.clone(),
                 limits: limits.clone(),
@@ -179,13 +180,13 @@
         let LastSent { at, proved_at, config, endpoints, is_scheduler: was_scheduler, .. } =
             &self.last_sent;
         let proof = Timestamp(currency.proved_us);
-        let is_due = now.since(at.get()) >= HEARTBEAT_INTERVAL - BATCH_DELAY;
-        let is_proved = proof.since(proved_at.get()) >= MIN_PROOF_ADVANCE;
+        let is_heartbeat_due = now.since(at.get()) >= HEARTBEAT_INTERVAL - BATCH_DELAY;
+        let has_newer_proof = proof.since(proved_at.get()) >= MIN_PROOF_ADVANCE;
         let is_scheduler = self.node.is_scheduler();
         let has_changed = config.replace(currency.config_version) != currency.config_version
             || endpoints.replace(currency.endpoints_cursor) != currency.endpoints_cursor;
         let has_new_role = was_scheduler.replace(is_scheduler) != is_scheduler;
-        let has_news = is_due || is_proved || has_changed || has_new_role;
+        let has_news = is_heartbeat_due || has_newer_proof || has_changed || has_new_role;
         if has_news {
             at.set(now);
             proved_at.set(proof);
@@ -257,7 +258,7 @@
         owners.into_values().collect()
     }
 
-    /// All work placed by instances of this data centre, for an instance that becomes scheduler.
+    /// All work placed by instances of this data centre, for an instance that becomes a scheduler.
     pub(crate) fn work_of_data_centre(&self) -> Vec<OwnersWork> {
         let own = self.incarnation();
         let is_local =
--- a/crates/ringbend-relay/src/relay.rs
+++ b/crates/ringbend-relay/src/relay.rs
@@ -25,7 +25,7 @@
     ConfigDecoder, ConfigItem, ConfigSource, Dialect, DurableStore, EndpointSource,
     InstanceRegistry,
 };
-use crate::suspect_store::learn_suspects;
+use crate::suspect_store::load_suspects;
 use crate::table_copies::{ConfigCopy, EndpointCopy};
 use crate::watch::Watch;
 
@@ -75,8 +75,8 @@
 const READY: usize = 1;
 const METRICS: usize = 2;
 
-/// Idle timeout of callers' connections. Callers reuse a connection for less time than their own
-/// idle limit, so this one only has to exceed theirs.
+/// Idle timeout of callers' connections. Callers stop reusing an idle connection after a limit of
+/// their own, which this timeout only has to exceed.
 const KEEP_ALIVE: Duration = Duration::from_secs(90);
 
 /// Initial value of this instance's clock. Other instances report when they last verified a copy,
@@ -91,7 +91,7 @@
     ///
     /// The relay cannot listen on one of its addresses.
     pub async fn start(cfg: RelayConfig, ports: Ports) -> Result<Self, Report<RelayError>> {
-        Self::start_at(cfg, ports, Clock::start_at(CLOCK_AT_START)).await
+        Self::start_inner(cfg, ports, Clock::start_at(CLOCK_AT_START)).await
     }
 
     /// Like [`Self::start`], with a clock that reads its time from `read`; used by tests of
@@ -105,10 +105,10 @@
         ports: Ports,
         read: fn() -> Duration,
     ) -> Result<Self, Report<RelayError>> {
-        Self::start_at(cfg, ports, Clock::with_source(read, CLOCK_AT_START)).await
+        Self::start_inner(cfg, ports, Clock::with_source(read, CLOCK_AT_START)).await
     }
 
-    async fn start_at(
+    async fn start_inner(
         cfg: RelayConfig,
         ports: Ports,
         clock: Clock,
@@ -134,7 +134,7 @@
             Watch::<Endpoint, EndpointChange, _>::new(node.clone(), ports.endpoints, EndpointCopy);
         let mut tasks =
             vec![tokio::task::spawn_local(config.run()), tokio::task::spawn_local(endpoints.run())];
-        tasks.push(tokio::task::spawn_local(learn_suspects(node.clone())));
+        tasks.push(tokio::task::spawn_local(load_suspects(node.clone())));
         if let Some(address) = listen.peers {
             let server =
                 start_server(address.into(), Rc::new(CopyServer { node: node.clone() })).await?;
--- a/crates/ringbend-relay/src/sending.rs
+++ b/crates/ringbend-relay/src/sending.rs
@@ -41,6 +41,7 @@
         Ok(())
     }
 
+    /// Records that the endpoint at this address has failed, and reports it to other instances.
     pub(crate) fn record_unhealthy_address(&self, address: SocketAddrV4) {
         let directory = self.node.directory.borrow();
         let Some(endpoint) = directory.by_address(address) else { return };
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Records a failed run and decides how it counts.
+    /// Records a failed run and returns the resulting failure of the send.
     pub(crate) fn record_run_error(&mut self, endpoint: &Endpoint, why: &RunError) -> SendFailure {
         if matches!(why, RunError::Held) {
             log::warn!(
