--- a/crates/ringbend-gateway/src/backoffs.rs
+++ b/crates/ringbend-gateway/src/backoffs.rs
@@ -98,7 +98,7 @@
 
     /// Records that the endpoint accepted a request that was sent at `sent`. Returns whether this
     /// ends the backoff.
-    pub fn taken(&mut self, sent: Timestamp, endpoint: &Endpoint) -> bool {
+    pub fn record_accepted(&mut self, sent: Timestamp, endpoint: &Endpoint) -> bool {
         let backoff = self.entries.get(&endpoint.id);
         let is_over = backoff.is_some_and(|b| sent >= b.until && b.order(endpoint).is_ge());
         if is_over {
@@ -114,7 +114,7 @@
     }
 
     /// Records that a request is sent to an endpoint whose state permits it.
-    pub fn sending(&mut self, now: Timestamp, endpoint: &Endpoint) {
+    pub fn record_sent(&mut self, now: Timestamp, endpoint: &Endpoint) {
         if let Some(backoff) = self.entries.get_mut(&endpoint.id) {
             backoff.probed_until = Some(now + PROBE_TIME);
         }
--- a/crates/ringbend-gateway/src/snapshot.rs
+++ b/crates/ringbend-gateway/src/snapshot.rs
@@ -61,9 +61,9 @@
     /// The maximum time until the end of the response.
     pub timeout: Duration,
     /// The target latency of a response, or of a stream's first event.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// The longest gap between events that counts as on time.
-    pub gap_aim: Option<Duration>,
+    pub target_gap: Option<Duration>,
     /// The priority of its requests; zero is the highest.
     pub priority: u8,
     /// The maximum number of endpoints on which one request may run.
--- a/crates/ringbend-gateway/tests/backoffs.rs
+++ b/crates/ringbend-gateway/tests/backoffs.rs
@@ -17,7 +17,7 @@
     let mut backoffs = Backoffs::default();
     assert!(backoffs.begin(at(0), &endpoint(1), delay("3")));
     assert!(!backoffs.begin(at(100), &endpoint(1), delay("0.5")));
-    assert!(!backoffs.taken(at(200), &endpoint(1)));
+    assert!(!backoffs.record_accepted(at(200), &endpoint(1)));
     assert_eq!(backoffs.state(at(2_999), &endpoint(1)), BackoffState::Closed(at(3_000)));
     assert_eq!(backoffs.state(at(3_000), &endpoint(1)), BackoffState::Open);
     assert_eq!(backoffs.state(at(0), &endpoint(2)), BackoffState::Open);
@@ -28,13 +28,13 @@
 fn one_probe_at_a_time_is_sent_after_the_delay_until_one_is_accepted() {
     let mut backoffs = Backoffs::default();
     backoffs.begin(at(0), &endpoint(1), delay("1"));
-    backoffs.sending(at(1_500), &endpoint(1));
+    backoffs.record_sent(at(1_500), &endpoint(1));
     assert_eq!(backoffs.state(at(1_600), &endpoint(1)), BackoffState::Probed);
     let state = backoffs.state(at(2_500), &endpoint(1));
     assert_eq!(state, BackoffState::Open, "the probe got no response in time");
-    backoffs.sending(at(2_500), &endpoint(1));
-    assert!(!backoffs.taken(at(900), &endpoint(1)), "a response to an earlier request");
-    assert!(backoffs.taken(at(2_500), &endpoint(1)));
+    backoffs.record_sent(at(2_500), &endpoint(1));
+    assert!(!backoffs.record_accepted(at(900), &endpoint(1)), "a response to an earlier request");
+    assert!(backoffs.record_accepted(at(2_500), &endpoint(1)));
     assert!(backoffs.is_empty());
 }
 
@@ -92,7 +92,7 @@
                 latest = latest.max(now + length);
             }
             backoffs.begin(at(now), &endpoint(1), RetryAfter::new(ms(length)));
-            backoffs.taken(at(now), &endpoint(1));
+            backoffs.record_accepted(at(now), &endpoint(1));
             if now < latest && backoffs.state(at(now), &endpoint(1)) == BackoffState::Open {
                 return false;
             }
--- a/crates/ringbend-relay/src/active_request.rs
+++ b/crates/ringbend-relay/src/active_request.rs
@@ -206,7 +206,7 @@
     /// callers refused together do not return together.
     fn late_retry_after(&self) -> Duration {
         let share = self.node.rng.borrow_mut().random_range(RETRY_AIM_SHARE);
-        self.config.route.aim.mul_f64(share)
+        self.config.route.target_latency.mul_f64(share)
     }
 
     /// Time after which to return to endpoints that accept requests after `wait`, with a random
@@ -280,7 +280,7 @@
         let (id, route) = (self.request_id(), &self.config.route.name);
         let first_ms = Millis(self.delivery.first.map(|at| at.since(self.arrived_at)));
         let gap_ms = self.delivery.longest_gap.as_millis() as u64;
-        let aim_ms = self.config.route.aim.as_millis() as u64;
+        let aim_ms = self.config.route.target_latency.as_millis() as u64;
         let gap_aim_ms = self.gap_target().as_millis() as u64;
         log::info!(
             target: "request", id, fingerprint:% = self.original.fingerprint, route:%,
--- a/crates/ringbend-relay/src/runs.rs
+++ b/crates/ringbend-relay/src/runs.rs
@@ -117,7 +117,7 @@
         self.streaming_since = None;
         self.strikes_before = self.node.quarantine.borrow().strikes(self.original.fingerprint);
         self.attempts.record_send(&endpoint.id);
-        self.node.backoffs.borrow_mut().sending(self.node.clock.now(), &endpoint);
+        self.node.backoffs.borrow_mut().record_sent(self.node.clock.now(), &endpoint);
         self.node.metrics.attempt(self.attempts.tried().len() as u32);
         let sending = SendRequest {
             node: self.node.clone(),
--- a/crates/ringbend-relay/src/scheduling.rs
+++ b/crates/ringbend-relay/src/scheduling.rs
@@ -158,18 +158,18 @@
 
     /// The target for the longest pause between events.
     pub(crate) fn gap_target(&self) -> Duration {
-        self.config.route.gap_aim.unwrap_or(self.config.route.aim)
+        self.config.route.target_gap.unwrap_or(self.config.route.target_latency)
     }
 
     /// The target time of the first event.
     pub(crate) fn first_event_due(&self) -> Timestamp {
-        self.arrived_at + self.config.route.aim
+        self.arrived_at + self.config.route.target_latency
     }
 
     /// When the caller gives up if no event has arrived.
     fn first_event_timeout(&self) -> Timestamp {
         let route = &self.config.route;
-        let patience = (route.aim * AIM_FACTOR)
+        let patience = (route.target_latency * AIM_FACTOR)
             .max(self.gap_target() * GAP_FACTOR)
             .max(MIN_FIRST_EVENT_TIMEOUT);
         self.attempts.deadline().min(self.arrived_at + patience)
@@ -179,7 +179,8 @@
     /// first event is due, so that a long prompt that waits for memory does not delay short ones.
     pub(crate) fn engine_priority(&self) -> u8 {
         let patience =
-            LOW_URGENCY_AIMS.iter().filter(|aim| self.config.route.aim > **aim).count() as u8;
+            LOW_URGENCY_AIMS.iter().filter(|aim| self.config.route.target_latency > **aim).count()
+                as u8;
         self.priority().saturating_mul(RANKS_PER_PRIORITY).saturating_add(patience).min(MAX_RANK)
     }
 
--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -120,7 +120,7 @@
 
     fn end_backoff(&self, endpoint: &Endpoint, sent: Timestamp) {
         let mut backoffs = self.backoffs.borrow_mut();
-        if backoffs.taken(sent, endpoint) {
+        if backoffs.record_accepted(sent, endpoint) {
             log::info!(target: "endpoints", endpoint:% = endpoint.id; "back-off ended");
             self.metrics.endpoint_backoffs.set(backoffs.len() as i64);
         }
--- a/crates/ringbend-relay/src/streams.rs
+++ b/crates/ringbend-relay/src/streams.rs
@@ -161,7 +161,7 @@
     if request.is_too_long_to_rerun() {
         return deadline;
     }
-    let gap = request.config.route.gap_aim.unwrap_or(request.config.route.aim);
+    let gap = request.config.route.target_gap.unwrap_or(request.config.route.target_latency);
     deadline.min(request.node.clock.now() + (gap * GAP_FACTOR).max(GAP_SILENCE_TIMEOUT))
 }
 
--- a/crates/ringbend-relay/src/timeouts.rs
+++ b/crates/ringbend-relay/src/timeouts.rs
@@ -41,7 +41,8 @@
         } else {
             PLAIN_SILENCE_TIMEOUT
         };
-        let limit = (self.config.route.aim * 2).max(least).max(expected * EXPECTED_FACTOR);
+        let limit =
+            (self.config.route.target_latency * 2).max(least).max(expected * EXPECTED_FACTOR);
         deadline.min(self.node.clock.now() + limit)
     }
 
