--- a/crates/ringbend-gateway/benches/decisions.rs
+++ b/crates/ringbend-gateway/benches/decisions.rs
@@ -1,8 +1,8 @@
 //! Cost of one decision by the number of engines: `cargo bench -p ringbend-gateway`.
 //!
 //! Half of the engines are reserved for short prompts and decode for six each; a tenth of the
-//! others read a long one. The sizes are those of the current deployments, of the large one and of
-//! the planned one.
+//! others read a long one. 30 and 150 engines are sizes of current fleets, 850 is that of a planned
+//! one.
 
 #![allow(missing_docs)]
 
@@ -19,16 +19,16 @@
 const ENGINES: [usize; 3] = [30, 150, 850];
 
 /// Decoding requests per engine on half of the engines.
-const WRITERS: usize = 6;
+const DECODING_REQUESTS: usize = 6;
 
-/// Waiting long prompts.
+/// The number of waiting long prompts.
 const WAITING: u64 = 8;
 
 fn busy(engines: usize) -> Scene {
     let mut scene = Scene::new(engines);
     for engine in 1..=engines / 2 {
-        for writer in 0..WRITERS {
-            let id = work_id((engine * 100 + writer) as u64);
+        for request in 0..DECODING_REQUESTS {
+            let id = work_id((engine * 100 + request) as u64);
             scene.load.place(at(0), id, work(engine, ms(10)));
             scene.load.first_event(id);
         }
@@ -71,10 +71,10 @@
         place("a short prompt", 5_000);
         place("a prompt of 45,000 tokens", 45_000);
         place("a prompt of 300,000 tokens", 300_000);
-        let claim =
+        let queued =
             QueuedPrompt { id: work_id(2_000_000), passed_over_for: ms(0), goal: goal(300_000) };
-        group.bench_function(BenchmarkId::new("a look at a turn", engines), |b| {
-            b.iter(|| decide_turn(scene.view(), &profile, &candidates, &claim));
+        group.bench_function(BenchmarkId::new("the turn of a waiting prompt", engines), |b| {
+            b.iter(|| decide_turn(scene.view(), &profile, &candidates, &queued));
         });
     }
     group.finish();
--- a/crates/ringbend-gateway/src/backoffs.rs
+++ b/crates/ringbend-gateway/src/backoffs.rs
@@ -1,7 +1,7 @@
 //! Endpoints that have asked this instance to back off.
 //!
 //! An overloaded endpoint rejects a request and names a delay. The delay binds only the instance
-//! that received the response, and it holds to its end: a later success does not shorten it. After
+//! that received the response, and applies to its end: a later success does not shorten it. After
 //! the delay one request at a time is sent until the endpoint accepts one, so that the requests
 //! that waited do not overload it again at once.
 
@@ -21,7 +21,7 @@
 /// another one.
 const PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// How long after its end a delay is dropped if nothing was sent to the endpoint.
+/// How long a delay is remembered after its end if nothing is sent to the endpoint.
 const RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone)]
--- a/crates/ringbend-gateway/src/candidate.rs
+++ b/crates/ringbend-gateway/src/candidate.rs
@@ -11,7 +11,8 @@
 use crate::placement::{HEALTH_PENALTY_COST, PlacementGoal, REMOTE_COST, TRIED_COST, is_long};
 use crate::weights::PlacementWeights;
 
-/// The event gap assumed for latency-sensitive requests that have not arrived yet.
+/// The target gap between events that is assumed for latency-sensitive requests that have not
+/// arrived yet.
 const TIGHT_GAP: Duration = Duration::from_millis(200);
 
 /// Exceeding the target fill of an engine by this share of its slots costs as much as using an
@@ -112,12 +113,13 @@
             let limit = millis(task.gap);
             task.stake * (lateness(w, after, limit) - lateness(w, before, limit))
         };
-        let now_late: f64 = self.load.about_to_decode().map(lateness_cost).sum();
-        let tight = millis(TIGHT_GAP);
-        let to_come = (self.reserved_for - self.short_prompts as f64).max(0.0);
-        let soon_late = to_come * (lateness(w, after, tight) - lateness(w, before, tight));
+        let present_cost: f64 = self.load.about_to_decode().map(lateness_cost).sum();
+        let tight_limit = millis(TIGHT_GAP);
+        let expected_requests = (self.reserved_for - self.short_prompts as f64).max(0.0);
+        let future_cost = expected_requests
+            * (lateness(w, after, tight_limit) - lateness(w, before, tight_limit));
         let delays = if is_part { self.queue_delays(w, now, part_ms) } else { 0.0 };
-        now_late + soon_late + delays + self.short_prompts as f64 * part_ms / 100.0 * w.read
+        present_cost + future_cost + delays + self.short_prompts as f64 * part_ms / 100.0 * w.read
     }
 
     /// Cost to the queued prompts of a part being read before them.
@@ -168,8 +170,9 @@
             cost += NO_SLOT_COST * (1.0 + taken - slots);
         }
         // Parts like the recent ones are expected to arrive again while the response is decoded.
-        let usual = self.decode_pass_ms + self.pace * millis(self.load.usual_part(view.now));
-        cost += stake * lateness(w, usual, millis(goal.gap)) * 0.5;
+        let usual_pass_ms =
+            self.decode_pass_ms + self.pace * millis(self.load.usual_part(view.now));
+        cost += stake * lateness(w, usual_pass_ms, millis(goal.gap)) * 0.5;
         if !is_long(w, profile, goal.demand) {
             let share = self.short_prompts as f64 / slots;
             cost += if self.reserved_for == 0.0 { w.open } else { 0.0 };
--- a/crates/ringbend-gateway/src/deferral.rs
+++ b/crates/ringbend-gateway/src/deferral.rs
@@ -28,14 +28,14 @@
 /// Whether a waiting long prompt should be deferred further instead of being placed now.
 ///
 /// This handles a burst of short prompts right after long ones. A prompt of 600,000 tokens takes 34
-/// s to read. Sent when short prompts had left it four engines, it occupied each for 8.5 s, and 62
-/// of the 168 short prompts that arrived in the next two seconds waited for engines that were
-/// expected to be free. It waits until more engines are available. Splitting it further among the
-/// same engines cost more than it gained.
+/// s to read. When it was sent although short prompts had left it only four engines, it occupied
+/// each for 8.5 s, and 62 of the 168 short prompts that arrived in the next two seconds waited for
+/// engines that were expected to be free. Such a prompt is therefore deferred until more engines
+/// are available. Splitting it further among the same engines cost more than it gained.
 ///
 /// A prompt that would make others late and has time is deferred as well: within a second or two
-/// current streams have ended and queued parts have been read. A prompt that is already late has
-/// less to lose and yields for part of its caller's waiting time.
+/// current streams will have ended and queued parts will have been read. A prompt that is already
+/// late has less to lose and yields for part of its caller's waiting time.
 pub(crate) fn should_defer(
     view: FleetView<'_>,
     profile: &EngineProfile,
--- a/crates/ringbend-gateway/src/fleet_view.rs
+++ b/crates/ringbend-gateway/src/fleet_view.rs
@@ -45,7 +45,8 @@
 }
 
 /// Cost of placing a suspect beside another, in stakes: more than being late, and less than using
-/// the last endpoint without a suspect. If the endpoint ends, neither can be told from the other.
+/// the last endpoint without a suspect. If the endpoint ends, it is unknown which of the two caused
+/// it.
 const BESIDE_SUSPECT_COST: f64 = 20.0;
 
 /// The cost if a suspect already runs on the endpoint.
--- a/crates/ringbend-gateway/src/load.rs
+++ b/crates/ringbend-gateway/src/load.rs
@@ -23,11 +23,11 @@
 /// The load that one request puts on endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Work {
-    /// Reads the prompt, or its part of it, and decodes the response.
+    /// The endpoint that reads the prompt, or one part of it, and decodes the response.
     pub lead: EndpointId,
-    /// Read a part of the prompt each.
+    /// The engines that read one of the other parts of the prompt each.
     pub helpers: SmallVec<[EndpointId; 4]>,
-    /// How long each of them reads.
+    /// How long each of these engines reads.
     pub part: Duration,
     /// Memory used on the lead, in tokens.
     pub memory_tokens: u64,
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillTask {
     id: WorkId,
-    /// The time needed to read the rest.
+    /// The time needed to read what is left of it.
     pub left: Duration,
     /// When the first event of its request is due.
     pub first_by: Timestamp,
@@ -108,7 +108,7 @@
 /// The estimated load of one endpoint.
 ///
 /// Engines read parts of split prompts first, the newest of them before all others, and whole
-/// prompts afterwards in order of arrival. This was observed in runs with few engines.
+/// prompts afterwards in order of arrival, as observed with few engines.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointLoad {
     /// Parts of split prompts, the oldest first.
--- a/crates/ringbend-gateway/src/peers.rs
+++ b/crates/ringbend-gateway/src/peers.rs
@@ -63,7 +63,9 @@
 
 #[derive(Debug, Clone)]
 struct Peer {
+    /// When its last digest arrived, and the incarnation that sent it.
     heard: Option<(Timestamp, u64)>,
+    /// When it was added.
     since: Timestamp,
     greeted_at: Option<Timestamp>,
     copies: CopyVersions,
@@ -267,10 +269,10 @@
     fn count_by_centre(&self, matches: impl Fn(&Peer) -> bool) -> usize {
         let mut counts: BTreeMap<&DataCentre, (usize, usize)> = BTreeMap::new();
         counts.insert(&self.home, (1, 0));
-        let mut elsewhere = 0;
+        let mut unknown_centre = 0;
         for peer in self.peers.values().filter(|peer| matches(peer)) {
             let Some(data_centre) = &peer.data_centre else {
-                elsewhere += 1;
+                unknown_centre += 1;
                 continue;
             };
             let (heard, reported) = counts.entry(data_centre).or_default();
@@ -279,7 +281,7 @@
                 *reported = (*reported).max(peer.status.instances);
             }
         }
-        counts.values().map(|(heard, reported)| heard.max(reported)).sum::<usize>() + elsewhere
+        counts.values().map(|(heard, reported)| heard.max(reported)).sum::<usize>() + unknown_centre
     }
 
     /// The number of instances of its data centre that this one receives digests from, plus itself.
@@ -291,15 +293,17 @@
     /// have just fallen silent, and whose work is dropped.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<(SocketAddrV4, u64)> {
         let silent = |(address, peer): (&SocketAddrV4, &Peer)| match peer.heard {
-            Some((at, start)) if now.since(at) >= PEER_TIMEOUT => Some((*address, start)),
+            Some((at, incarnation)) if now.since(at) >= PEER_TIMEOUT => {
+                Some((*address, incarnation))
+            }
             _ => None,
         };
-        let starts = self.peers.iter().filter_map(silent).collect();
+        let silent_peers = self.peers.iter().filter_map(silent).collect();
         self.peers.retain(|_, peer| {
             let last = peer.heard.map_or(peer.since, |(at, _)| at);
             now.since(last) < RETENTION
         });
-        starts
+        silent_peers
     }
 
     fn alive(&self, now: Timestamp) -> impl Iterator<Item = (SocketAddrV4, &Peer)> {
--- a/crates/ringbend-gateway/src/permits.rs
+++ b/crates/ringbend-gateway/src/permits.rs
@@ -93,8 +93,8 @@
     ///
     /// A new coordinator does not know how many permits the previous one has granted, and starts
     /// with none.
-    pub fn set_coordinating(&mut self, service: &ServiceName, counts: bool) -> bool {
-        if !counts {
+    pub fn set_coordinating(&mut self, service: &ServiceName, coordinates: bool) -> bool {
+        if !coordinates {
             return self.coordinated.remove(service);
         }
         let is_new = self.coordinated.insert(service.clone());
@@ -152,19 +152,19 @@
         count: usize,
     ) -> Option<Duration> {
         let buckets: Vec<&Bucket> = endpoints.filter_map(|e| self.buckets.get(e)).collect();
-        let have = |after| {
+        let are_granted = |after| {
             let coming = buckets.iter().map(|bucket| bucket.granted_by(now + after));
             coming.sum::<f64>() >= count as f64
         };
-        if !have(MAX_WAIT) {
+        if !are_granted(MAX_WAIT) {
             return None;
         }
-        let (mut none, mut all) = (Duration::ZERO, MAX_WAIT);
-        while all - none > PRECISION {
-            let middle = (none + all) / 2;
-            if have(middle) { all = middle } else { none = middle }
+        let (mut too_short, mut sufficient) = (Duration::ZERO, MAX_WAIT);
+        while sufficient - too_short > PRECISION {
+            let middle = (too_short + sufficient) / 2;
+            if are_granted(middle) { sufficient = middle } else { too_short = middle }
         }
-        Some(all)
+        Some(sufficient)
     }
 
     /// Adds a request to the queue.
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The number of requests before it in the queue.
+    /// The number of requests before this one in the queue.
     pub fn ahead_of(&self, service: &ServiceName, waiting: &PermitWaiter) -> usize {
         self.queues.get(service).map_or(0, |queue| queue.range(..waiting).count())
     }
--- a/crates/ringbend-gateway/src/quarantine.rs
+++ b/crates/ringbend-gateway/src/quarantine.rs
@@ -22,9 +22,10 @@
 use ringbend_types::{EndpointId, EndpointStart, Fingerprint, Timestamp};
 use smallvec::SmallVec;
 
-/// Strikes that hold a request. Two are no proof: an endpoint that ends by itself strikes
-/// everything that runs on it, and some of those requests meet a second such endpoint. Three in a
-/// row, each apart from other suspects, are most unlikely without a cause.
+/// The number of strikes after which a request is held. Two are no proof: an endpoint that ends by
+/// itself adds a strike to everything that runs on it, and some of those requests meet a second
+/// such endpoint. Three in a row, each apart from other suspects, are most unlikely unless the
+/// request is their cause.
 pub const STRIKES_TO_HOLD: usize = 3;
 
 /// How long after its last strike or try a held request is tried again, once per entry: endpoints
@@ -234,17 +235,17 @@
         }
     }
 
-    /// Drops old records. Returns the requests that may still have stored rows.
+    /// Drops old records. Returns those of the dropped requests that may have rows in the store.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<Fingerprint> {
-        let mut kept = Vec::new();
+        let mut stored = Vec::new();
         self.records.retain(|fingerprint, record| {
-            let stays = now.since(record.changed_at) < record.retention();
-            if !stays && record.suspicion.is_severe() {
-                kept.push(*fingerprint);
+            let is_kept = now.since(record.changed_at) < record.retention();
+            if !is_kept && record.suspicion.is_severe() {
+                stored.push(*fingerprint);
             }
-            stays
+            is_kept
         });
-        kept
+        stored
     }
 
     /// The number, starting from one, of the try that is due for a held request; `None` if none is
--- a/crates/ringbend-gateway/src/quiet.rs
+++ b/crates/ringbend-gateway/src/quiet.rs
@@ -7,7 +7,8 @@
 
 /// Whether each candidate is a quiet engine. There are as many as the requests with short prompts
 /// need, chosen by how many of those they already decode. An instance that knows of no other
-/// reserves none: it does not know what others place, and all would reserve the same engine.
+/// reserves none: it does not know what other instances place, and all of them would reserve the
+/// same engine.
 pub(crate) fn quiet_engines(
     view: FleetView<'_>,
     profile: &EngineProfile,
--- a/crates/ringbend-gateway/src/retry_budget.rs
+++ b/crates/ringbend-gateway/src/retry_budget.rs
@@ -40,9 +40,9 @@
 const ALLOWANCE_WHILE_SETTLING: f64 = 2.0;
 
 /// The fraction of its share of the allowance that an instance uses in the first window after its
-/// start, at least one retry. Its previous process may have used its share in the same window: when
-/// all instances are killed during a failure, 80 of them used 160 retries before and 160 after, of
-/// 235.
+/// start, at least one retry. Its previous process may have used its share in the same window: 80
+/// instances that were all killed during a failure used 160 retries before the restart and 160
+/// after it, where 235 were allowed.
 const ALLOWANCE_SHARE_AFTER_START: f64 = 0.5;
 
 /// The minimum number of instances among which the allowance is divided.
--- a/crates/ringbend-gateway/src/schedulers.rs
+++ b/crates/ringbend-gateway/src/schedulers.rs
@@ -3,9 +3,9 @@
 //! A few instances of each data centre know what runs on every engine and place the requests of all
 //! others there. Placements are exchanged among schedulers only: with a few hundred instances,
 //! sending them to all takes more processor time than the requests themselves. With 300 instances
-//! the median instance uses 1.7 % of a core and 22 KB per second, where it used 14 % and 240 KB,
-//! requests included. There is no election: each instance schedules until it hears enough
-//! schedulers that rank before it. In a small fleet all instances schedule.
+//! the median instance uses 1.7 % of a core and 22 KB per second; with placements sent to all it
+//! used 14 % and 240 KB. Both include the requests. There is no election: each instance schedules
+//! until it hears enough schedulers that rank before it. In a small fleet all instances schedule.
 
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
--- a/crates/ringbend-gateway/src/store_backoff.rs
+++ b/crates/ringbend-gateway/src/store_backoff.rs
@@ -15,8 +15,9 @@
 /// whatever its size.
 const POLLING_INSTANCES: f64 = 8.0;
 
-/// The maximum time for which a watch of another table leaves polling of an unreachable store to
-/// the first watch: within that time it must learn what others know, whatever it missed.
+/// The maximum delay of a watch that leaves polling of an unreachable store to another one, the
+/// sentinel. After that time at the latest it must receive what other instances know, whatever
+/// messages it missed.
 pub const MAX_SECONDARY_BACKOFF: Duration = Duration::from_secs(3);
 
 /// The lower bound of the delay, as a share of the maximum.
--- a/crates/ringbend-gateway/src/store_readers.rs
+++ b/crates/ringbend-gateway/src/store_readers.rs
@@ -61,16 +61,16 @@
         lost_at: Option<Timestamp>,
         proved_at: Option<Timestamp>,
     ) -> bool {
-        let others_reach = lost_at.is_some_and(|lost_at| proved_at > Some(lost_at));
-        let stops = self.reads && others_reach;
+        let others_reach_it = lost_at.is_some_and(|lost_at| proved_at > Some(lost_at));
+        let stops = self.reads && others_reach_it;
         if stops {
             self.reads = false;
         }
         stops
     }
 
-    /// Pairs the clocks: `incarnation` answered, at `peer` on its clock, a greeting that was
-    /// sent at `own` on ours.
+    /// Pairs the clocks: this instance sent a greeting at `own` on its clock, and `incarnation`
+    /// answered it at `peer` on the clock of that instance.
     pub fn pair_clocks(&mut self, incarnation: u64, own: Timestamp, peer: Timestamp) {
         self.clocks.insert(incarnation, ClockPairing { own, peer });
     }
@@ -80,9 +80,9 @@
         self.clocks.remove(&incarnation);
     }
 
-    /// Converts `at` on a peer's clock to a moment on our clock that is no later. Returns `None`
-    /// for an unknown clock and for a moment before the zero of our clock: clamped to zero it would
-    /// be later than it was.
+    /// Converts `at` on a peer's clock to a moment on this instance's clock that is no later.
+    /// Returns `None` for an unknown clock and for a moment before the zero of this instance's
+    /// clock: clamped to zero it would be later than it was.
     pub fn to_own_clock(&self, incarnation: u64, at: Timestamp) -> Option<Timestamp> {
         let pairing = self.clocks.get(&incarnation)?;
         if at >= pairing.peer {
--- a/crates/ringbend-gateway/src/turns.rs
+++ b/crates/ringbend-gateway/src/turns.rs
@@ -37,8 +37,8 @@
 }
 
 /// How long free engines may stay unused before a prompt overtakes one that is before it in the
-/// order, whose instance may have ended. Two trips between data centres, plus some time for a busy
-/// instance.
+/// order, whose instance may have ended. Two message delays between data centres, plus a margin for
+/// a busy instance.
 const MAX_UNUSED: Duration = Duration::from_millis(30);
 
 /// The share of a request's waiting time after which it precedes all others, however late it is.
--- a/crates/ringbend-gateway/tests/cold_start.rs
+++ b/crates/ringbend-gateway/tests/cold_start.rs
@@ -3,7 +3,7 @@
 //! callers return within a tenth of a second.
 //!
 //! Runs in virtual time. Once instances hear each other, they report placements with a delay of
-//! `TRIP`.
+//! `MESSAGE_DELAY`.
 
 mod support;
 
@@ -22,7 +22,7 @@
 /// A short prompt; an engine of the test profile reads it in 21 ms.
 const SHORT_PROMPT: Demand = Demand { prompt_tokens: 5_000, answer_tokens: 1_000 };
 
-/// When its first event is due.
+/// The target latency of its first event.
 const SHORT_PROMPT_TARGET: Duration = ms(300);
 
 /// A placement on its way to the other instances.
@@ -68,26 +68,26 @@
         }
     }
 
-    fn arrive(&mut self, now: Timestamp, demand: Demand, aim: Duration) -> Placement {
+    fn arrive(&mut self, now: Timestamp, demand: Demand, target_latency: Duration) -> Placement {
         self.deliver(now);
         let from = self.rng.random_range(0..self.instances.len());
         let seed_if_alone = (now < self.heard_from).then(|| self.rng.random());
         let scene = &mut self.instances[from];
         (scene.now, scene.spread_seed) = (now, seed_if_alone);
         scene.load.advance(now);
-        let goal = PlacementGoal { demand, first_in: aim, gap: ms(250) };
+        let goal = PlacementGoal { demand, first_in: target_latency, gap: ms(250) };
         let placement =
             place_on_engines(scene.view(), &profile(), &scene.candidates(), &goal).unwrap();
         self.sequence += 1;
         let id = WorkId { instance: from as u64, sequence: self.sequence };
-        let work = work(scene, demand, aim, &placement);
+        let work = work(scene, demand, target_latency, &placement);
         scene.load.place(now, id, work.clone());
         self.in_transit.push(PlacedMessage { at: now, from, id, work });
         placement
     }
 }
 
-fn work(scene: &Scene, demand: Demand, aim: Duration, placement: &Placement) -> Work {
+fn work(scene: &Scene, demand: Demand, target_latency: Duration, placement: &Placement) -> Work {
     Work {
         lead: placement.lead.clone(),
         helpers: placement.helpers.clone(),
@@ -95,7 +95,7 @@
         memory_tokens: demand.prompt_tokens + demand.answer_tokens,
         held: placement.held.clone(),
         gap: ms(250),
-        first_by: scene.now + aim,
+        first_by: scene.now + target_latency,
         stake: stake(&scene.weights, demand.prompt_tokens),
         until: scene.now + ms(10_000),
         long: false,
@@ -133,8 +133,8 @@
     (0..8).map(of_seed).max().unwrap_or(0)
 }
 
-/// The mean is 5.6 of 100 and 6.7 of 400. The many instances place five requests each: by chance
-/// alone one engine of sixty gets more than twice the mean.
+/// The mean is 5.6 of 100 callers and 6.7 of 400 per engine. The instances of the large burst place
+/// about five requests each: by chance alone one engine of sixty gets more than twice the mean.
 #[test]
 fn a_burst_at_instances_that_do_not_hear_each_other_spreads_over_the_engines() {
     let never = at(60_000);
@@ -142,7 +142,7 @@
     assert!(most[0] <= 11 && most[1] <= 14, "{most:?}");
 }
 
-/// On a single engine a prompt of 17 s of prefill would take 17 s.
+/// The prompt needs 17 s of prefill on a single engine.
 #[test]
 fn an_instance_that_hears_no_other_splits_a_long_prompt_among_idle_engines() {
     let mut fleet = Fleet::new(1, 18, at(60_000), 1);
@@ -151,7 +151,7 @@
     assert!(placement.helpers.len() >= 5, "{} helpers", placement.helpers.len());
 }
 
-/// An engine reads 14 of them within the target latency.
+/// An engine reads 14 short prompts within the target latency.
 #[test]
 fn a_burst_that_arrives_as_instances_start_to_hear_each_other_fits_the_engines() {
     let most = [SMALL, LARGE].map(|burst| most_on_one_engine(burst, at(30)));
--- a/crates/ringbend-gateway/tests/copy_freshness.rs
+++ b/crates/ringbend-gateway/tests/copy_freshness.rs
@@ -367,7 +367,7 @@
 /// Guards against a reader that lost the store and continues as reader. With 85 instances, half of
 /// which the store rejected while endpoints were replaced, the reader polled the lost store after a
 /// delay that grows with the number of instances, and only then checked whether others had reached
-/// it. It sent requests to an endpoint 3.4 s after that had announced that it leaves.
+/// it. It sent requests to an endpoint 3.4 s after that endpoint had announced that it was leaving.
 #[test]
 fn reader_that_lost_the_store_stops_at_the_first_proof_of_another_instance() {
     let mut readers = StoreReaders::new(1);
--- a/crates/ringbend-gateway/tests/deferral.rs
+++ b/crates/ringbend-gateway/tests/deferral.rs
@@ -2,10 +2,10 @@
 //!
 //! Scenario: long prompts arrive at 2.8 times their usual rate for ten seconds. Engines have slots
 //! and time for all of them, but a prompt that is sent at once is read before queued parts and
-//! beside current streams. Those are then late, and the next prompts find fewer free engines. Basis
-//! of the numbers: a stream of a long prompt takes 1 to 2 s to decode, a part of one 0.4 to 1 s to
-//! read, and the target latency of long prompts is 3 s or more, so there is time to wait for
-//! either.
+//! between the steps of current streams. Those are then late, and the next prompts find fewer free
+//! engines. Basis of the numbers: a stream of a long prompt takes 1 to 2 s to decode, a part of one
+//! 0.4 to 1 s to read, and the target latency of long prompts is 3 s or more, so there is time to
+//! wait for either.
 
 mod support;
 
@@ -22,7 +22,8 @@
 const FIRST_BY: u64 = 4_000;
 const UNTIL: u64 = 15_000;
 
-/// Engines that all decode for a long prompt, whose streams allow a gap of a second between events.
+/// Engines that each decode the response to a long prompt. The streams allow a gap of a second
+/// between events.
 fn decoding_for_long_prompts(engines: usize) -> Scene {
     let mut scene = Scene::new(engines);
     for engine in 1..=engines {
@@ -54,8 +55,8 @@
     scene.load.advance(now);
     scene.load.wait(work_id(OWN), waiting);
     let goal = PlacementGoal { demand, first_in: at(FIRST_BY).since(now), gap: ms(1_000) };
-    let claim = QueuedPrompt { id: work_id(OWN), passed_over_for: ms(0), goal };
-    decide_turn(scene.view(), &profile(), &scene.candidates(), &claim)
+    let queued = QueuedPrompt { id: work_id(OWN), passed_over_for: ms(0), goal };
+    decide_turn(scene.view(), &profile(), &scene.candidates(), &queued)
 }
 
 #[test]
--- a/crates/ringbend-gateway/tests/event_streams.rs
+++ b/crates/ringbend-gateway/tests/event_streams.rs
@@ -14,17 +14,17 @@
 
 #[test]
 fn events_keep_their_ids_and_bytes() {
-    let (events, whole) = split(&[STREAM]);
+    let (events, is_complete) = split(&[STREAM]);
     assert_eq!(events.iter().map(|e| e.id).collect::<Vec<_>>(), [Some(7), Some(8), None, Some(10)]);
     assert_eq!(events.iter().flat_map(|e| e.bytes.clone()).collect::<Vec<_>>(), STREAM);
-    assert!(whole);
+    assert!(is_complete);
 }
 
 #[test]
 fn an_incomplete_event_is_not_returned() {
-    let (events, whole) = split(&[b"id: 7\ndata: a\n\nid: 8\nda"]);
+    let (events, is_complete) = split(&[b"id: 7\ndata: a\n\nid: 8\nda"]);
     assert_eq!(events.len(), 1);
-    assert!(!whole);
+    assert!(!is_complete);
 }
 
 #[test]
--- a/crates/ringbend-gateway/tests/hedging.rs
+++ b/crates/ringbend-gateway/tests/hedging.rs
@@ -1,6 +1,6 @@
 //! When a short prompt is hedged on a second engine.
 //!
-//! Scenario: an engine dies, falls silent or becomes slow, and silence is the only sign for the
+//! Scenario: an engine crashes, falls silent or becomes slow, and silence is the only sign for the
 //! instance that has just sent a request there. Basis of the numbers: a short prompt is due after
 //! 300 ms and expected after about 110; four in five arrive within 1.6 times that and nine in ten
 //! within twice that, as passes are not aligned; another engine takes as long again. So a hedged
--- a/crates/ringbend-gateway/tests/permits.rs
+++ b/crates/ringbend-gateway/tests/permits.rs
@@ -10,13 +10,13 @@
 use smallvec::smallvec;
 use support::{at, endpoint, ms, service, work_id};
 
-fn job(since: u64, aim: u64, rank: u8) -> Job {
+fn job(since: u64, target_latency: u64, rank: u8) -> Job {
     Job {
         request: "r".into(),
         service: service("engines"),
         demand: Some(Demand { prompt_tokens: 1_000, answer_tokens: 100 }),
         since: at(since),
-        first_by: at(since + aim),
+        first_by: at(since + target_latency),
         gap: ms(200),
         caller_timeout_at: at(since + 2_000),
         deadline: at(since + 10_000),
@@ -49,8 +49,8 @@
 #[test]
 fn no_period_gets_more_than_the_limit_plus_two() {
     for rate in [0.2, 1.0, 2.7, 13.0, 60.0] {
-        for quiet in [0, 3_000, 9_999] {
-            let taken = taken(&mut Permits::default(), rate, 20_000, |now| now >= quiet);
+        for unused_until in [0, 3_000, 9_999] {
+            let taken = taken(&mut Permits::default(), rate, 20_000, |now| now >= unused_until);
             let most = max_within(&taken, 4_000);
             assert!(most as f64 <= rate * 4.0 + 2.0, "{most} at {rate}");
         }
--- a/crates/ringbend-gateway/tests/placement.rs
+++ b/crates/ringbend-gateway/tests/placement.rs
@@ -44,14 +44,14 @@
     let mut scene = Scene::new(4);
     for engine in 1..=3 {
         let helpers = [endpoint(engine % 3 + 1).id].into_iter().collect();
-        let reads = Work { long: true, helpers, ..work(engine, ms(1_500)) };
-        scene.load.place(at(0), work_id(engine as u64), reads);
+        let reading = Work { long: true, helpers, ..work(engine, ms(1_500)) };
+        scene.load.place(at(0), work_id(engine as u64), reading);
     }
     let placement = place(&mut scene, 30_000, 1_500, 600);
     assert_eq!(engines(&placement), ["e-04"]);
 }
 
-/// The passes of engines are not aligned, so the longest wait for the end of a pass counts.
+/// The passes of the engines are not aligned, so the longest wait for the end of a pass counts.
 #[test]
 fn a_split_prompt_waits_for_the_last_of_several_passes() {
     let mut scene = Scene::new(8);
@@ -102,7 +102,7 @@
     load.place(at(0), work_id(2), helped(ms(100)));
     load.place(at(0), work_id(3), helped(ms(200)));
     let order: Vec<u128> =
-        load.of(&endpoint(1).id).prefills().map(|reader| reader.left.as_millis()).collect();
+        load.of(&endpoint(1).id).prefills().map(|prefill| prefill.left.as_millis()).collect();
     assert_eq!(order, [200, 100, 30]);
     // Requests wait to decode on it, so it reads for most but not all of its time.
     load.advance(at(200));
@@ -164,7 +164,8 @@
     assert_eq!(place(&mut scene, 3_000, 300, 200).lead, endpoint(2).id);
 }
 
-/// The message about its end was lost. Work placed a moment ago may be missing from the list.
+/// Covers a lost message about the end of work. Work placed a moment ago may be missing from the
+/// list because the list was sent before.
 #[test]
 fn work_missing_from_its_instances_list_has_ended() {
     let mut load = LoadTracker::default();
--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -53,7 +53,7 @@
 }
 
 /// Guards against two strikes by one process: a call that all clients send was sent again to the
-/// endpoint that had just ended and was cut off there once more (soak, seed 202).
+/// endpoint that had just ended and was cut off there once more (seen with seed 202).
 #[test]
 fn one_process_is_one_strike() {
     let mut quarantine = Quarantine::default();
@@ -64,7 +64,7 @@
 
 /// Guards against attributing a crash to a request that arrived just after its cause. A call with
 /// two strikes was placed where the request to blame had been until 6 and 11 ms before, while the
-/// endpoint was ending because of that request, and was held (soak, seeds 202 and 213).
+/// endpoint was ending because of that request, and was held (seen with seeds 202 and 213).
 #[test]
 fn a_suspect_counts_as_running_on_an_endpoint_for_a_while_after_its_run() {
     let mut load = LoadTracker::default();
--- a/crates/ringbend-gateway/tests/retries.rs
+++ b/crates/ringbend-gateway/tests/retries.rs
@@ -133,7 +133,7 @@
 fn instances_that_do_not_know_their_number_yet_stay_within_the_budget_together() {
     const INSTANCES: usize = 79;
     let name = service("s");
-    // The allowance of the deployment where this occurred.
+    // The allowance with which this was observed.
     let bounds = RetryBudgetBounds { allowance: 234.0, ..BOUNDS };
     let mut budgets: Vec<RetryBudget> = (0..INSTANCES).map(|_| RetryBudget::new(bounds)).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
@@ -167,7 +167,7 @@
 fn instances_that_all_restart_stay_within_the_budget_together() {
     const INSTANCES: usize = 80;
     let name = service("s");
-    // The bounds of the deployment where this occurred.
+    // The allowance with which this was observed.
     let bounds = RetryBudgetBounds { allowance: 235.0, ..BOUNDS };
     let new = |now| {
         let mut budget = RetryBudget::new(bounds);
--- a/crates/ringbend-gateway/tests/schedulers.rs
+++ b/crates/ringbend-gateway/tests/schedulers.rs
@@ -36,7 +36,8 @@
 }
 
 impl Fleet {
-    /// Each instance greets the best-ranked ones of all data centres, as after reading their rows.
+    /// Starts `each` instances in each of `centres` data centres. Each instance greets the
+    /// best-ranked ones of all data centres, as after reading their rows.
     fn start(centres: usize, each: usize) -> Self {
         let mut fleet = Self { now: at(1_000), instances: BTreeMap::new(), sent_count: 0 };
         for centre in 0..centres {
@@ -60,10 +61,9 @@
         fleet
     }
 
-    /// Each instance that finds itself among the best-ranked of the rows becomes a scheduler at
-    /// once.
+    /// Each instance that the rows show to be among the best-ranked becomes a scheduler at once.
     fn assign_initial_roles(&mut self) {
-        let standings: Vec<(usize, InstanceRank)> = self
+        let ranks: Vec<(usize, InstanceRank)> = self
             .instances
             .iter()
             .map(|(address, (centre, capacity, _))| {
@@ -71,8 +71,8 @@
             })
             .collect();
         for (centre, _, peers) in self.instances.values_mut() {
-            let local = standings.iter().filter(|(other, _)| other == centre);
-            if peers.is_needed_beside(local.map(|(_, standing)| *standing)) {
+            let local = ranks.iter().filter(|(other, _)| other == centre);
+            if peers.is_needed_beside(local.map(|(_, rank)| *rank)) {
                 peers.become_scheduler();
             }
         }
@@ -91,12 +91,12 @@
         let (centre, capacity, peers) = &self.instances[&from];
         let (centre, capacity) = (data_centre(*centre), *capacity);
         let instances = peers.local_instances(self.now);
-        let part = PeerStatus { role: peers.role(), instances, fleet: peers.instances(self.now) };
+        let status = PeerStatus { role: peers.role(), instances, fleet: peers.instances(self.now) };
         let start = u64::from(u32::from(*from.ip()));
         let (_, _, recipient) = self.instances.get_mut(&to).unwrap();
         recipient.record_digest(self.now, from, start);
         recipient.describe(from, centre, capacity);
-        recipient.set_status(from, part);
+        recipient.set_status(from, status);
         recipient.update_role(self.now);
     }
 
@@ -164,10 +164,10 @@
     assert!(late.update_role(at(300)));
     assert!(late.schedules());
     for number in 0..SCHEDULERS_PER_DATA_CENTRE {
-        let part = PeerStatus { role: Role::Scheduler, ..PeerStatus::default() };
+        let status = PeerStatus { role: Role::Scheduler, ..PeerStatus::default() };
         late.record_digest(at(400), address(0, number), number as u64);
         late.describe(address(0, number), data_centre(0), LARGE);
-        late.set_status(address(0, number), part);
+        late.set_status(address(0, number), status);
         assert_eq!(late.update_role(at(400)), number + 1 == SCHEDULERS_PER_DATA_CENTRE);
     }
     assert_eq!(late.role(), Role::Member);
@@ -215,12 +215,12 @@
             "{} by {instances}",
             fleet.sent_count
         );
-        let fellows = |peers: &Peers| peers.other_schedulers(fleet.now).len();
-        assert!(fleet.instances.values().all(|(_, _, peers)| fellows(peers) <= 15));
+        let other_schedulers = |peers: &Peers| peers.other_schedulers(fleet.now).len();
+        assert!(fleet.instances.values().all(|(_, _, peers)| other_schedulers(peers) <= 15));
     }
 }
 
-/// The retry budget is divided by this number.
+/// The allowance of the retry budget is divided by the number of instances.
 #[test]
 fn each_instance_knows_the_size_of_the_fleet() {
     let mut fleet = Fleet::start(5, 60);
--- a/crates/ringbend-policy/src/dispatcher.rs
+++ b/crates/ringbend-policy/src/dispatcher.rs
@@ -29,17 +29,17 @@
 /// Random stream number of the policy within a process.
 const RANDOM_STREAM: u64 = 1;
 
-/// Retry interval of a refused reservation, and the delay before a new group is tried after an
-/// engine of the last one has gone.
+/// Retry interval of a refused reservation, and the delay before another group of engines is tried
+/// after an engine of the previous one has become unavailable.
 const RESERVE_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval at which the queue is checked again when no event does it.
+/// Interval at which the queue is checked again if no event triggers a check.
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Interval at which the priorities of queued requests are raised.
 const AGEING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A tick that is late by more than this means that this instance was paused, or idle.
+/// A tick that is late by more than this means that this instance was paused or idle.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Identity and seed of a dispatcher.
@@ -215,7 +215,7 @@
                     }
                     self.next_ageing = now + AGEING_INTERVAL;
                     self.queue.age(now);
-                    self.leave_silent_engines(now, &mut out);
+                    self.retry_attempts_on_silent_engines(now, &mut out);
                 }
             }
         }
--- a/crates/ringbend-policy/src/dispatcher/admission.rs
+++ b/crates/ringbend-policy/src/dispatcher/admission.rs
@@ -26,7 +26,7 @@
         }
         let id = profile.id;
         out.push(Action::Admitted(id));
-        let claim = profile.needs_claim;
+        let needs_claim = profile.needs_claim;
         let request = Request {
             next_timer: profile.deadline,
             profile,
@@ -38,7 +38,7 @@
         };
         self.timers.insert((request.next_timer, id));
         self.requests.insert(id, request);
-        if !claim {
+        if !needs_claim {
             self.enqueue(now, id);
         }
     }
@@ -75,10 +75,10 @@
     /// Estimates how long the requests ahead of this one take, at this instance's share of the
     /// prefill rate.
     pub(super) fn estimated_queue_time(&self, profile: &RequestProfile) -> Duration {
-        let before = self.queue.tokens_ahead(profile.settings.class.priority);
+        let tokens_ahead = self.queue.tokens_ahead(profile.settings.class.priority);
         let rate =
             self.endpoints.total_prefill_rate(&profile.service) / self.peers.len().max(1) as f64;
-        Duration::from_secs_f64((before as f64 / rate.max(1.0)).min(86_400.0))
+        Duration::from_secs_f64((tokens_ahead as f64 / rate.max(1.0)).min(86_400.0))
     }
 
     pub(super) fn enqueue(&mut self, now: Timestamp, id: RequestId) {
@@ -109,7 +109,7 @@
                 }
             }
         }
-        let idle = self.queue.len() == 0;
-        self.next_queue_poll = if idle { Timestamp::NEVER } else { now + QUEUE_POLL_INTERVAL };
+        let is_empty = self.queue.len() == 0;
+        self.next_queue_poll = if is_empty { Timestamp::NEVER } else { now + QUEUE_POLL_INTERVAL };
     }
 }
--- a/crates/ringbend-policy/src/dispatcher/completion.rs
+++ b/crates/ringbend-policy/src/dispatcher/completion.rs
@@ -60,8 +60,8 @@
         };
         // A long prompt that was not run may be retried until its deadline, outside the retry
         // budget.
-        let waits = request.profile.is_long() && run_state(end) == Some(RunState::NotRun);
-        let allowed = waits
+        let outside_budget = request.profile.is_long() && run_state(end) == Some(RunState::NotRun);
+        let allowed = outside_budget
             || request.attempts < retries.attempts
                 && self.retry_budget.try_retry(now, retries.ratio_percent);
         if !allowed {
@@ -148,9 +148,14 @@
         self.remove_request(id);
     }
 
-    /// Moves repeatable requests away from engines that have fallen silent, instead of waiting for
-    /// their timeouts. Other requests keep waiting, because a retry could run them twice.
-    pub(super) fn leave_silent_engines(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    /// Cancels the attempts of repeatable requests on engines that have fallen silent and retries
+    /// them, instead of waiting for their timeouts. Other requests keep waiting, because a retry
+    /// could run them twice.
+    pub(super) fn retry_attempts_on_silent_engines(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Action>,
+    ) {
         for attempt in self.endpoints.attempts_on_silent_engines(now) {
             let id = self.attempts.get(&attempt).copied();
             let request = id.and_then(|id| self.requests.get(&id));
@@ -165,6 +170,8 @@
         }
     }
 
+    /// Ends and retries the attempts and reservations that hold memory on engines, because the
+    /// engines may have freed it.
     pub(super) fn end_attempts_with_held_memory(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let holds = |request: &Request| match &request.stage {
             Stage::Running(running) => !running.held.is_empty(),
--- a/crates/ringbend-policy/src/dispatcher/timers.rs
+++ b/crates/ringbend-policy/src/dispatcher/timers.rs
@@ -72,9 +72,9 @@
     /// moving this one elsewhere would lose the work already done for it.
     pub(super) fn extend_first_token_deadline(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let patience = Duration::from_millis(request.profile.settings.timeouts.first_token_ms);
+        let extension = Duration::from_millis(request.profile.settings.timeouts.first_token_ms);
         if let Stage::Running(running) = &mut request.stage {
-            running.first_token_deadline = now + patience;
+            running.first_token_deadline = now + extension;
         }
         self.set_timer(id);
     }
--- a/crates/ringbend-policy/src/endpoint_view.rs
+++ b/crates/ringbend-policy/src/endpoint_view.rs
@@ -1,4 +1,4 @@
-//! One endpoint as this instance sees it: late load reports, corrected by what was sent since.
+//! One endpoint as this instance sees it: delayed load reports, corrected by what was sent since.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -92,7 +92,7 @@
         self.last_activity = self.last_activity.map(|_| now);
     }
 
-    /// Returns whether an engine that has reported before has been inactive for too long.
+    /// Returns whether an engine that has sent load reports has sent none for too long.
     pub(crate) fn is_silent(&self, now: Timestamp) -> bool {
         let Some(last_activity) = self.last_activity else { return false };
         let timeout = SILENCE_TIMEOUT.max(Duration::from_secs_f64(3.0 * self.report_gap_s));
@@ -189,8 +189,8 @@
 
     /// Returns the prompt tokens that need prefill after a prefix cache hit.
     pub(crate) fn uncached_tokens(&self, prompt: TokenCount, prefix: u64) -> u64 {
-        let spared = if self.prefixes.contains_key(&prefix) { PREFIX_TOKENS } else { 0 };
-        prompt.0.saturating_sub(spared).max(1)
+        let cached = if self.prefixes.contains_key(&prefix) { PREFIX_TOKENS } else { 0 };
+        prompt.0.saturating_sub(cached).max(1)
     }
 
     /// Returns the estimated prefill rate in tokens per second.
--- a/crates/ringbend-policy/src/placement.rs
+++ b/crates/ringbend-policy/src/placement.rs
@@ -91,7 +91,7 @@
         if profile.is_long() { CapacityClass::Long(service) } else { CapacityClass::Short(service) }
     }
 
-    /// Returns whether all engines together have enough capacity for the request.
+    /// Returns whether all engines together have enough memory for the request.
     pub(crate) fn can_ever_hold(&self, profile: &RequestProfile) -> bool {
         if profile.kind == EndpointKind::Service {
             return true;
