--- a/crates/ringbend-gateway/src/placement.rs
+++ b/crates/ringbend-gateway/src/placement.rs
@@ -65,7 +65,7 @@
 const STAKE_TOKENS: f64 = 5_000.0;
 
 /// Target for requests that are already late, in milliseconds.
-const LATE_AIM_MS: f64 = 300.0;
+const LATE_TARGET_MS: f64 = 300.0;
 
 /// The minimum stake.
 const MIN_STAKE: f64 = 0.5;
@@ -160,12 +160,13 @@
     let part_ms = profile.prefill_ms(goal.demand.prompt_tokens) / parts as f64;
     let w = view.weights;
     let stake = stake(w, goal.demand.prompt_tokens);
-    let aim_ms = millis(goal.first_in);
+    let target_ms = millis(goal.first_in);
     let price = |e: &Engine<'_>| {
         let part_ms = part_ms * e.pace;
         let own = |leads| {
             let first = e.first_ms(part_ms, parts, leads);
-            stake * (lateness(w, first, aim_ms) + w.first * first / aim_ms.max(LATE_AIM_MS))
+            stake
+                * (lateness(w, first, target_ms) + w.first * first / target_ms.max(LATE_TARGET_MS))
         };
         Price {
             cost_to_others: e.cost_to_others(w, view.now, part_ms, parts > 1) + e.fixed_cost,
--- a/crates/ringbend-gateway/src/quarantine.rs
+++ b/crates/ringbend-gateway/src/quarantine.rs
@@ -290,10 +290,10 @@
     /// The records for an instance that has just started, those with the most strikes first. An
     /// instance that does not know of a first strike would place that request beside one with two.
     pub fn for_starting(&self) -> impl Iterator<Item = &Suspicion> {
-        let struck = self.records.values().map(|r| &r.suspicion).filter(|s| !s.ended.is_empty());
-        let mut struck: Vec<&Suspicion> = struck.collect();
-        struck.sort_by_key(|s| (Reverse(s.ended.len()), s.fingerprint));
-        struck.into_iter().take(MAX_SENT_AT_START)
+        let suspected = self.records.values().map(|r| &r.suspicion).filter(|s| !s.ended.is_empty());
+        let mut suspected: Vec<&Suspicion> = suspected.collect();
+        suspected.sort_by_key(|s| (Reverse(s.ended.len()), s.fingerprint));
+        suspected.into_iter().take(MAX_SENT_AT_START)
     }
 
     /// The recent and most important records, to be sent again.
--- a/crates/ringbend-gateway/src/weights.rs
+++ b/crates/ringbend-gateway/src/weights.rs
@@ -3,8 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Weights of the cost function for placement. Costs are in stakes: one stake is the loss if a
-/// request with a prompt of 5,000 tokens is late. The defaults were derived from runs on two
-/// deployments; see `docs/design/placement.md`.
+/// request with a prompt of 5,000 tokens is late. See `docs/design/placement.md` for the defaults.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlacementWeights {
@@ -19,8 +18,7 @@
     /// Cost of delaying a request that waits for its first event by all the time it has left.
     pub delay: f64,
     /// A prompt that one engine reads within this many milliseconds is not split, because the first
-    /// event waits for the last of several passes, which takes about as long. Over 30 ms the gain
-    /// is 0.001 to 0.006 of a day on three deployments, five days each with two seeds.
+    /// event would wait for the last of several passes, which takes about as long.
     pub whole_ms: f64,
     /// Cost of each helper: one more engine on which the request depends.
     pub helper: f64,
@@ -37,9 +35,7 @@
     pub free_ms: f64,
     /// A long prompt waits while the cheapest placement would make an engine read it for longer
     /// than this many milliseconds: passes there last as long as the prefill, and requests that
-    /// reach the engine meanwhile wait for their end. The gain is 0.014 to 0.030 of a day on three
-    /// deployments, five days each with two seeds; 1,500 and 4,000 gain 0.007 less on one of them
-    /// with six seeds, which is within the variance between runs.
+    /// reach the engine meanwhile wait for the end of the pass.
     pub longest_ms: f64,
     /// The number of requests with short prompts expected soon per open one.
     pub quiet_growth: f64,
--- a/crates/ringbend-gateway/tests/copy_freshness.rs
+++ b/crates/ringbend-gateway/tests/copy_freshness.rs
@@ -1,8 +1,9 @@
 //! Freshness of copies as exchanged between instances, across restarts: a copy must never count as
 //! proved current at a moment at which the table already held a later version.
 //!
-//! The simulation has one true time. Each instance has its own clock, which shows `at_start` when
-//! the instance starts. Messages are captured when they are sent, and are delivered later or never.
+//! The simulation has one true time. Each instance has its own clock, which shows `clock_at_start`
+//! when the instance starts. Messages are captured when they are sent, and are delivered later or
+//! never.
 
 mod support;
 
@@ -18,29 +19,29 @@
 const STORE_AHEAD: Duration = ms(70_000);
 
 struct Instance {
-    start: u64,
+    incarnation: u64,
     /// The true time at which it started.
     started: Timestamp,
     /// The reading of its clock at that time.
-    at_start: Timestamp,
+    clock_at_start: Timestamp,
     replica: Replica,
     readers: StoreReaders,
 }
 
 impl Instance {
-    fn new(start: u64, started: Timestamp, at_start: Timestamp) -> Self {
-        let (replica, readers) = (Replica::default(), StoreReaders::new(start));
-        Self { start, started, at_start, replica, readers }
+    fn new(incarnation: u64, started: Timestamp, clock_at_start: Timestamp) -> Self {
+        let (replica, readers) = (Replica::default(), StoreReaders::new(incarnation));
+        Self { incarnation, started, clock_at_start, replica, readers }
     }
 
     fn clock(&self, now: Timestamp) -> Timestamp {
-        self.at_start + now.since(self.started)
+        self.clock_at_start + now.since(self.started)
     }
 
     /// Converts a moment on this instance's clock to the true time in microseconds, which may be
     /// negative.
     fn true_time(&self, own: Timestamp) -> i64 {
-        own.0 as i64 - self.at_start.0 as i64 + self.started.0 as i64
+        own.0 as i64 - self.clock_at_start.0 as i64 + self.started.0 as i64
     }
 }
 
@@ -48,46 +49,46 @@
 #[derive(Clone, Copy)]
 enum Message {
     /// The store's response to a call that was sent at `sent` on the reader's clock.
-    Answer { to: usize, start: u64, version: u64, proof: Proof, paired: bool },
+    Answer { to: usize, incarnation: u64, version: u64, proof: Proof, paired: bool },
     /// A configuration forwarded by another instance.
     Copy { to: usize, version: u64 },
     /// The freshness of the sender's copy.
-    Freshness { to: usize, start: u64, version: u64, proved_at: Timestamp },
+    Freshness { to: usize, incarnation: u64, version: u64, proved_at: Timestamp },
     /// The answer to a greeting, with both clocks.
-    Pairing { to: usize, to_start: u64, start: u64, own: Timestamp, peers: Timestamp },
+    Pairing { to: usize, to_incarnation: u64, incarnation: u64, own: Timestamp, peers: Timestamp },
 }
 
 struct Simulation {
     now: Timestamp,
     instances: Vec<Instance>,
-    starts: u64,
-    at_start: Timestamp,
+    last_incarnation: u64,
+    clock_at_start: Timestamp,
     /// When each version was written, indexed by version.
     written: Vec<Timestamp>,
     in_transit: Vec<Message>,
 }
 
 impl Simulation {
-    fn new(instances: usize, at_start: Timestamp) -> Self {
+    fn new(instances: usize, clock_at_start: Timestamp) -> Self {
         let now = at(100_000);
         let mut simulation = Self {
             now,
             instances: Vec::new(),
-            starts: 0,
-            at_start,
+            last_incarnation: 0,
+            clock_at_start,
             written: vec![now],
             in_transit: Vec::new(),
         };
         for _ in 0..instances {
-            let instance = simulation.started();
+            let instance = simulation.start_instance();
             simulation.instances.push(instance);
         }
         simulation
     }
 
-    fn started(&mut self) -> Instance {
-        self.starts += 1;
-        Instance::new(self.starts, self.now, self.at_start)
+    fn start_instance(&mut self) -> Instance {
+        self.last_incarnation += 1;
+        Instance::new(self.last_incarnation, self.now, self.clock_at_start)
     }
 
     fn advance(&mut self, time: Duration) {
@@ -99,18 +100,18 @@
     }
 
     fn restart(&mut self, index: usize) {
-        self.instances[index] = self.started();
+        self.instances[index] = self.start_instance();
     }
 
     /// The store answers a call that was sent `ago` before now; the response is in transit.
     fn read(&mut self, reader: usize, ago: Duration, paired: bool) {
         let instance = &self.instances[reader];
         let sent = instance.clock(self.now);
-        let sent = (sent - ago).max(instance.at_start);
+        let sent = (sent - ago).max(instance.clock_at_start);
         let proof = Proof { sent, store_clock: Duration::from_micros(self.now.0) + STORE_AHEAD };
         let version = self.written.len() as u64;
-        let start = instance.start;
-        self.in_transit.push(Message::Answer { to: reader, start, version, proof, paired });
+        let incarnation = instance.incarnation;
+        self.in_transit.push(Message::Answer { to: reader, incarnation, version, proof, paired });
     }
 
     fn forward_copy(&mut self, from: usize, to: usize) {
@@ -123,18 +124,29 @@
         let sender = &self.instances[from];
         let (version, proved_at) = (sender.replica.version(), sender.replica.proved_at());
         if let (Some(version), Some(proved_at)) = (version, proved_at) {
-            let start = sender.start;
-            self.in_transit.push(Message::Freshness { to, start, version: version.0, proved_at });
+            let incarnation = sender.incarnation;
+            self.in_transit.push(Message::Freshness {
+                to,
+                incarnation,
+                version: version.0,
+                proved_at,
+            });
         }
     }
 
     /// `from` greeted `to` some time `ago` and is answered now.
     fn greet(&mut self, from: usize, to: usize, ago: Duration) {
         let (greeter, greeted) = (&self.instances[from], &self.instances[to]);
-        let own = (greeter.clock(self.now) - ago).max(greeter.at_start);
+        let own = (greeter.clock(self.now) - ago).max(greeter.clock_at_start);
         let peers = greeted.clock(self.now);
-        let (to_start, start) = (greeter.start, greeted.start);
-        self.in_transit.push(Message::Pairing { to: from, to_start, start, own, peers });
+        let (to_incarnation, incarnation) = (greeter.incarnation, greeted.incarnation);
+        self.in_transit.push(Message::Pairing {
+            to: from,
+            to_incarnation,
+            incarnation,
+            own,
+            peers,
+        });
     }
 
     /// Delivers the message at this index, if there is one; with `keeps` it can be delivered again.
@@ -157,9 +169,9 @@
 
     fn receive(&mut self, message: Message) {
         match message {
-            Message::Answer { to, start, version, proof, paired } => {
+            Message::Answer { to, incarnation, version, proof, paired } => {
                 let instance = &mut self.instances[to];
-                if instance.start != start {
+                if instance.incarnation != incarnation {
                     return;
                 }
                 let adopted = instance.replica.offer(snapshot(version, None));
@@ -171,18 +183,18 @@
             Message::Copy { to, version } => {
                 self.instances[to].replica.offer(snapshot(version, None));
             }
-            Message::Freshness { to, start, version, proved_at } => {
+            Message::Freshness { to, incarnation, version, proved_at } => {
                 let now = self.instances[to].clock(self.now);
                 let instance = &mut self.instances[to];
-                let placed = instance.readers.to_own_clock(start, proved_at);
+                let placed = instance.readers.to_own_clock(incarnation, proved_at);
                 if let Some(placed) = placed.filter(|at| *at <= now) {
                     instance.replica.prove_at(ConfigVersion(version), placed);
                 }
             }
-            Message::Pairing { to, to_start, start, own, peers } => {
+            Message::Pairing { to, to_incarnation, incarnation, own, peers } => {
                 let instance = &mut self.instances[to];
-                if instance.start == to_start {
-                    instance.readers.pair_clocks(start, own, peers);
+                if instance.incarnation == to_incarnation {
+                    instance.readers.pair_clocks(incarnation, own, peers);
                 }
             }
         }
@@ -204,8 +216,8 @@
 
 /// The reader restarts, a key is revoked unnoticed, and a starting instance learns from another one
 /// how old its copy is.
-fn key_revoked_while_the_reader_restarts(at_start: Timestamp) -> Simulation {
-    let mut simulation = Simulation::new(3, at_start);
+fn key_revoked_while_the_reader_restarts(clock_at_start: Timestamp) -> Simulation {
+    let mut simulation = Simulation::new(3, clock_at_start);
     simulation.read(0, ms(4), true);
     simulation.deliver_all();
     simulation.greet(1, 0, ms(2));
@@ -232,9 +244,9 @@
 
 #[test]
 fn a_copy_proved_before_an_instance_started_does_not_count_as_proved_at_its_start() {
-    for at_start in AT_START {
-        let simulation = key_revoked_while_the_reader_restarts(at_start);
-        assert!(simulation.is_consistent(), "clock at start {at_start}");
+    for clock_at_start in AT_START {
+        let simulation = key_revoked_while_the_reader_restarts(clock_at_start);
+        assert!(simulation.is_consistent(), "clock at start {clock_at_start}");
     }
 }
 
@@ -271,8 +283,8 @@
     /// Guards against a copy that is proved too late when responses, copies and digests are
     /// delayed, duplicated, lost or reordered, and instances restart.
     fn no_random_walk_of_three_instances_proves_a_copy_too_late(steps: Vec<u16>) -> bool {
-        AT_START.into_iter().all(|at_start| {
-            let mut simulation = Simulation::new(3, at_start);
+        AT_START.into_iter().all(|clock_at_start| {
+            let mut simulation = Simulation::new(3, clock_at_start);
             steps.iter().all(|number| {
                 step(&mut simulation, *number);
                 simulation.is_consistent()
@@ -304,8 +316,12 @@
 }
 
 /// Runs a sequence of steps from the initial state; messages arrive at once.
-fn is_consistent_along(count: usize, path: &[(usize, usize, usize)], at_start: Timestamp) -> bool {
-    let mut simulation = Simulation::new(count, at_start);
+fn is_consistent_along(
+    count: usize,
+    path: &[(usize, usize, usize)],
+    clock_at_start: Timestamp,
+) -> bool {
+    let mut simulation = Simulation::new(count, clock_at_start);
     // One instance has read the store and the others have received its copy, with their clocks
     // paired.
     simulation.read(0, ms(5), true);
--- a/crates/ringbend-gateway/tests/deferral.rs
+++ b/crates/ringbend-gateway/tests/deferral.rs
@@ -15,12 +15,14 @@
 use ringbend_types::Timestamp;
 use support::{Scene, at, endpoint, ms, profile, service, work, work_id};
 
-const PROMPT: u64 = 150_000;
-const OWN: u64 = 100;
+const PROMPT_TOKENS: u64 = 150_000;
+const PROMPT_ID: u64 = 100;
 
-/// When the waiting prompt is due, and when its caller disconnects.
-const FIRST_BY: u64 = 4_000;
-const UNTIL: u64 = 15_000;
+/// When the first event of the waiting prompt is due.
+const FIRST_BY_MS: u64 = 4_000;
+
+/// When the caller of the waiting prompt disconnects.
+const UNTIL_MS: u64 = 15_000;
 
 /// Engines that each decode the response to a long prompt. The streams allow a gap of a second
 /// between events.
@@ -30,7 +32,7 @@
         let lead = Work {
             long: true,
             gap: ms(1_000),
-            stake: stake(&scene.weights, PROMPT),
+            stake: stake(&scene.weights, PROMPT_TOKENS),
             ..work(engine, ms(0))
         };
         scene.load.place(at(0), work_id(engine as u64), lead);
@@ -41,21 +43,21 @@
 
 /// The decision for a prompt that arrived at time zero.
 fn turn_at(scene: &mut Scene, now: Timestamp) -> Turn {
-    let demand = Demand { prompt_tokens: PROMPT, answer_tokens: 1_000 };
+    let demand = Demand { prompt_tokens: PROMPT_TOKENS, answer_tokens: 1_000 };
     assert!(is_long(&scene.weights, &profile(), demand));
-    let read = profile().prefill_time(PROMPT, 1);
+    let read = profile().prefill_time(PROMPT_TOKENS, 1);
     let waiting = WaitingPrompt {
         service: service("engines"),
         read,
         since: at(0),
-        first_by: at(FIRST_BY),
-        until: at(UNTIL),
+        first_by: at(FIRST_BY_MS),
+        until: at(UNTIL_MS),
     };
     scene.now = now;
     scene.load.advance(now);
-    scene.load.wait(work_id(OWN), waiting);
-    let goal = PlacementGoal { demand, first_in: at(FIRST_BY).since(now), gap: ms(1_000) };
-    let queued = QueuedPrompt { id: work_id(OWN), passed_over_for: ms(0), goal };
+    scene.load.wait(work_id(PROMPT_ID), waiting);
+    let goal = PlacementGoal { demand, first_in: at(FIRST_BY_MS).since(now), gap: ms(1_000) };
+    let queued = QueuedPrompt { id: work_id(PROMPT_ID), passed_over_for: ms(0), goal };
     decide_turn(scene.view(), &profile(), &scene.candidates(), &queued)
 }
 
--- a/crates/ringbend-gateway/tests/drains.rs
+++ b/crates/ringbend-gateway/tests/drains.rs
@@ -14,7 +14,7 @@
     Drain { endpoint: endpoint.id.clone(), start: endpoint.start }
 }
 
-fn ready(directory: &Directory, now: Timestamp) -> usize {
+fn ready_count(directory: &Directory, now: Timestamp) -> usize {
     directory.of_service(now, &service("engines")).count()
 }
 
@@ -26,11 +26,11 @@
     assert!(directory.note_drain(at(1), drain(&endpoint(1))));
     assert!(!directory.note_drain(at(2), drain(&endpoint(1))));
     directory.apply(at(3), EndpointChange::Present(endpoint(1)));
-    assert_eq!((ready(&directory, at(3)), directory.leaving()), (1, 1));
+    assert_eq!((ready_count(&directory, at(3)), directory.leaving()), (1, 1));
     directory.apply(at(4), EndpointChange::Gone(endpoint(1).id));
     directory.sweep_drains(at(60_000));
     directory.replace(at(60_001), fleet(2));
-    assert_eq!(ready(&directory, at(60_001)), 1);
+    assert_eq!(ready_count(&directory, at(60_001)), 1);
 }
 
 /// Guards against keeping a draining endpoint available because its row expired around a store
@@ -42,8 +42,8 @@
     directory.note_drain(at(900), drain(&endpoint(2)));
     directory.store_recovered(at(1_000));
     directory.apply(at(1_000), EndpointChange::Gone(endpoint(2).id));
-    assert_eq!((ready(&directory, at(1_001)), directory.len()), (1, 1));
-    assert!(ready(&directory, at(1_000) + OUTAGE_GRACE) == 1);
+    assert_eq!((ready_count(&directory, at(1_001)), directory.len()), (1, 1));
+    assert!(ready_count(&directory, at(1_000) + OUTAGE_GRACE) == 1);
 }
 
 /// Guards against losing an announcement that arrives before the endpoint's row.
@@ -52,7 +52,7 @@
     let mut directory = Directory::default();
     directory.note_drain(at(0), drain(&endpoint(1)));
     directory.replace(at(1), fleet(1));
-    assert_eq!(ready(&directory, at(1)), 0);
+    assert_eq!(ready_count(&directory, at(1)), 0);
 }
 
 /// Guards against a late announcement of an earlier process, and against an announcement that
@@ -63,11 +63,11 @@
     directory.replace(at(0), vec![started(1, 100)]);
     directory.note_drain(at(1), drain(&started(1, 100)));
     directory.apply(at(2), EndpointChange::Present(started(1, 200)));
-    assert_eq!(ready(&directory, at(2)), 1);
+    assert_eq!(ready_count(&directory, at(2)), 1);
     assert!(!directory.note_drain(at(3), drain(&started(1, 100))));
-    assert_eq!(ready(&directory, at(3)), 1);
+    assert_eq!(ready_count(&directory, at(3)), 1);
     assert!(directory.note_drain(at(4), drain(&started(1, 200))));
-    assert_eq!(ready(&directory, at(4)), 0);
+    assert_eq!(ready_count(&directory, at(4)), 0);
 }
 
 /// Guards against an unbounded table of announcements.
@@ -93,7 +93,7 @@
         directory.apply(at(1), EndpointChange::Present(draining));
     }
     directory.replace(at(2), vec![started(1, 100), endpoint(2)]);
-    assert_eq!(ready(&directory, at(2)), 0);
+    assert_eq!(ready_count(&directory, at(2)), 0);
     directory.apply(at(3), EndpointChange::Present(started(1, 200)));
-    assert_eq!(ready(&directory, at(3)), 1);
+    assert_eq!(ready_count(&directory, at(3)), 1);
 }
--- a/crates/ringbend-gateway/tests/limit_coordinator.rs
+++ b/crates/ringbend-gateway/tests/limit_coordinator.rs
@@ -17,11 +17,11 @@
 fn scheduler_beside(others: u8, now: Timestamp) -> Peers {
     let mut peers = Peers::new(now, "z1".parse().unwrap(), InstanceRank::new(100, address(0)));
     peers.become_scheduler();
-    (1..=others).for_each(|number| hear(&mut peers, number, now));
+    (1..=others).for_each(|number| receive_digest(&mut peers, number, now));
     peers
 }
 
-fn hear(peers: &mut Peers, number: u8, now: Timestamp) {
+fn receive_digest(peers: &mut Peers, number: u8, now: Timestamp) {
     peers.record_digest(now, address(number), u64::from(number));
     peers.describe(address(number), "z1".parse().unwrap(), 100 + u32::from(number));
     let status = PeerStatus { role: Role::Scheduler, instances: 1, fleet: 1 };
@@ -52,16 +52,16 @@
     peers.mark_unresponsive(now, address(2));
     assert_eq!(coordinator(&peers, now), Some(Arbiter::Remote(address(2))));
     let after_one = now + HEARTBEAT_INTERVAL + ms(100);
-    hear(&mut peers, 1, after_one);
+    receive_digest(&mut peers, 1, after_one);
     assert_eq!(
         coordinator(&peers, after_one),
         Some(Arbiter::Remote(address(2))),
         "one heartbeat was lost"
     );
     let after_two = now + HEARTBEAT_INTERVAL * 2 + ms(300);
-    hear(&mut peers, 1, after_two);
+    receive_digest(&mut peers, 1, after_two);
     assert_eq!(coordinator(&peers, after_two), Some(Arbiter::Remote(address(1))));
-    hear(&mut peers, 2, after_two);
+    receive_digest(&mut peers, 2, after_two);
     assert_eq!(coordinator(&peers, after_two), Some(Arbiter::Remote(address(2))));
 }
 
@@ -82,10 +82,10 @@
     let mut peers = scheduler_beside(5, now);
     assert!((peers.reachable_share(now) - 1.0).abs() < 1e-9);
     let later = now + ms(3_000);
-    (1..=2).for_each(|number| hear(&mut peers, number, later));
+    (1..=2).for_each(|number| receive_digest(&mut peers, number, later));
     assert!((peers.reachable_share(later) - 0.5).abs() < 1e-9);
     let much_later = now + ms(40_000);
-    (1..=2).for_each(|number| hear(&mut peers, number, much_later));
+    (1..=2).for_each(|number| receive_digest(&mut peers, number, much_later));
     peers.sweep(much_later);
     assert!(
         (peers.reachable_share(much_later) - 1.0).abs() < 1e-9,
--- a/crates/ringbend-gateway/tests/limits.rs
+++ b/crates/ringbend-gateway/tests/limits.rs
@@ -105,8 +105,8 @@
 /// An observation of one instance, or a message between two.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    Hears { at: usize, rate: Option<u64> },
-    Tells { from: usize, to: usize },
+    Observes { at: usize, rate: Option<u64> },
+    Sends { from: usize, to: usize },
 }
 
 const INSTANCES: usize = 4;
@@ -116,14 +116,14 @@
         let instance = |g: &mut Gen| usize::arbitrary(g) % INSTANCES;
         if bool::arbitrary(g) {
             let rate = bool::arbitrary(g).then(|| u64::arbitrary(g) % 4);
-            Self::Hears { at: instance(g), rate }
+            Self::Observes { at: instance(g), rate }
         } else {
-            Self::Tells { from: instance(g), to: instance(g) }
+            Self::Sends { from: instance(g), to: instance(g) }
         }
     }
 }
 
-fn tell(all: &mut [Limits], now: u64, from: usize, to: usize) {
+fn send_record(all: &mut [Limits], now: u64, from: usize, to: usize) {
     let known: Option<KnownLimit> = all[from].known(&endpoint(1).id).cloned();
     if let Some(known) = known {
         all[to].merge(at(now), &known);
@@ -139,17 +139,17 @@
         for event in events {
             now += 10;
             match event {
-                Event::Hears { at, rate } => {
+                Event::Observes { at, rate } => {
                     let signal = rate.map(RequestRate::per_second);
                     let signal = signal.map_or(LimitSignal::None, LimitSignal::Rate);
                     observe(&mut all[at], now, now - 1, signal);
                 }
-                Event::Tells { from, to } => tell(&mut all, now, from, to),
+                Event::Sends { from, to } => send_record(&mut all, now, from, to),
             }
         }
         for _ in 0..2 {
             for from in 0..INSTANCES {
-                (0..INSTANCES).for_each(|to| tell(&mut all, now + 10, from, to));
+                (0..INSTANCES).for_each(|to| send_record(&mut all, now + 10, from, to));
             }
         }
         let rates: Vec<_> = all.iter().map(|limits| limits.rate(&endpoint(1))).collect();
--- a/crates/ringbend-gateway/tests/pace.rs
+++ b/crates/ringbend-gateway/tests/pace.rs
@@ -23,7 +23,7 @@
     place_on_engines(scene.view(), &profile(), &scene.candidates(), &goal).unwrap()
 }
 
-fn slow(scene: &mut Scene, engines: std::ops::RangeInclusive<usize>) {
+fn slow_down(scene: &mut Scene, engines: std::ops::RangeInclusive<usize>) {
     for engine in engines {
         scene.load.set_pace(at(0), &endpoint(engine).id, Pace::new(SLOW));
     }
@@ -37,14 +37,14 @@
 fn a_short_prompt_is_placed_on_an_engine_that_is_on_time() {
     let mut scene = Scene::new(12);
     assert!(is_slow(&place(&scene, 3_000, 300).lead), "ties go to the first engine");
-    slow(&mut scene, 1..=3);
+    slow_down(&mut scene, 1..=3);
     assert!(!is_slow(&place(&scene, 3_000, 300).lead));
 }
 
 #[test]
 fn slow_engines_read_no_part_of_a_long_prompt_while_others_do() {
     let mut scene = Scene::new(12);
-    slow(&mut scene, 1..=3);
+    slow_down(&mut scene, 1..=3);
     let placement = place(&scene, 210_000, 3_000);
     assert!(placement.helpers.len() >= 5, "{placement:?}");
     let mut engines = placement.helpers.iter().chain([&placement.lead]);
@@ -55,7 +55,7 @@
 fn the_expected_time_on_a_slow_engine_includes_its_pace() {
     let mut scene = Scene::new(1);
     let usual = place(&scene, 3_000, 300).first_ms;
-    slow(&mut scene, 1..=1);
+    slow_down(&mut scene, 1..=1);
     let slowed = place(&scene, 3_000, 300).first_ms;
     assert!((slowed / usual - SLOW).abs() < 0.01, "{slowed} of {usual}");
 }
@@ -66,7 +66,7 @@
     for engine in 1..=2 {
         scene.load.place(at(0), work_id(engine), work(engine as usize, ms(600)));
     }
-    slow(&mut scene, 1..=1);
+    slow_down(&mut scene, 1..=1);
     scene.load.advance(at(500));
     let left = |engine: usize| scene.load.of(&endpoint(engine).id).backlog();
     assert!(left(1) > ms(500) && left(2) < ms(200), "{:?}, {:?}", left(1), left(2));
@@ -85,7 +85,7 @@
             scene.load.first_event(id);
         }
     }
-    slow(&mut scene, 1..=1);
+    slow_down(&mut scene, 1..=1);
     let placement = place(&scene, 210_000, 1_500);
     let engines: Vec<_> = placement.helpers.iter().chain([&placement.lead]).collect();
     assert!(!engines.contains(&&endpoint(2).id), "{placement:?}");
@@ -94,7 +94,7 @@
 #[test]
 fn an_engine_that_reports_its_usual_pace_gets_work_again() {
     let mut scene = Scene::new(12);
-    slow(&mut scene, 1..=3);
+    slow_down(&mut scene, 1..=3);
     scene.load.set_pace(at(100), &endpoint(1).id, Pace::USUAL);
     assert_eq!(place(&scene, 3_000, 300).lead, endpoint(1).id);
 }
@@ -102,7 +102,7 @@
 #[test]
 fn a_pace_that_is_not_reported_again_expires_after_some_seconds() {
     let mut scene = Scene::new(2);
-    slow(&mut scene, 1..=1);
+    slow_down(&mut scene, 1..=1);
     let pace_at = |scene: &mut Scene, time| {
         scene.load.advance(at(time));
         scene.load.of(&endpoint(1).id).pace()
--- a/crates/ringbend-gateway/tests/placement.rs
+++ b/crates/ringbend-gateway/tests/placement.rs
@@ -146,15 +146,15 @@
 /// seconds.
 #[test]
 fn instances_that_know_of_no_other_start_with_different_engines() {
-    let first = |draw: fn(u64) -> Option<u64>| {
-        let firsts = (0..9).map(|instance| {
+    let distinct_leads = |draw: fn(u64) -> Option<u64>| {
+        let leads = (0..9).map(|instance| {
             let mut scene = Scene { spread_seed: draw(instance), ..Scene::new(18) };
             place(&mut scene, 3_000, 300, 200).lead
         });
-        firsts.collect::<std::collections::BTreeSet<_>>().len()
+        leads.collect::<std::collections::BTreeSet<_>>().len()
     };
-    assert_eq!(first(|_| None), 1);
-    assert!(first(Some) >= 5, "{}", first(Some));
+    assert_eq!(distinct_leads(|_| None), 1);
+    assert!(distinct_leads(Some) >= 5, "{}", distinct_leads(Some));
 }
 
 #[test]
--- a/crates/ringbend-gateway/tests/quarantine.rs
+++ b/crates/ringbend-gateway/tests/quarantine.rs
@@ -21,7 +21,7 @@
     EndedProcess { endpoint, start: Some(EndpointStart(number)) }
 }
 
-fn struck(quarantine: &mut Quarantine, of: Fingerprint, strikes: usize) {
+fn add_strikes(quarantine: &mut Quarantine, of: Fingerprint, strikes: usize) {
     for number in 0..strikes as u64 {
         assert!(quarantine.strike(at(number), of, process(number), number as usize));
     }
@@ -32,9 +32,9 @@
 #[test]
 fn three_ended_processes_hold_a_request_and_no_other() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(1), 1);
+    add_strikes(&mut quarantine, request(1), 1);
     assert_eq!(quarantine.state(request(1)), SuspectState::Suspect(1));
-    struck(&mut quarantine, request(2), STRIKES_TO_HOLD);
+    add_strikes(&mut quarantine, request(2), STRIKES_TO_HOLD);
     assert_eq!(quarantine.state(request(2)), SuspectState::Held);
     assert_eq!(quarantine.state(request(1)), SuspectState::Suspect(1));
     assert_eq!(quarantine.state(request(3)), SuspectState::Clear);
@@ -80,9 +80,9 @@
 #[test]
 fn a_request_with_two_strikes_runs_beside_no_other_suspect_in_any_order() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(1), 1);
-    struck(&mut quarantine, request(2), 1);
-    struck(&mut quarantine, request(3), 2);
+    add_strikes(&mut quarantine, request(1), 1);
+    add_strikes(&mut quarantine, request(2), 1);
+    add_strikes(&mut quarantine, request(3), 2);
     let may = |of, other| quarantine.may_run_beside(request(of), [request(other)].into_iter());
     assert!(may(1, 2) && may(2, 1));
     assert!(!may(1, 3) && !may(3, 1));
@@ -105,7 +105,7 @@
 #[test]
 fn a_successful_run_clears_despite_late_records_of_earlier_strikes() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(1), 2);
+    add_strikes(&mut quarantine, request(1), 2);
     let late = quarantine.get(request(1)).unwrap().clone();
     assert!(quarantine.clear(at(10), request(1)));
     assert_eq!(quarantine.state(request(1)), SuspectState::Clear);
@@ -118,7 +118,7 @@
 #[test]
 fn a_held_request_has_at_most_two_tries_until_one_succeeds() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(1), STRIKES_TO_HOLD);
+    add_strikes(&mut quarantine, request(1), STRIKES_TO_HOLD);
     let held = Timestamp(2_000);
     assert_eq!(quarantine.try_due(held, request(1)), None);
     assert_eq!(quarantine.until_try(at(2), request(1)), Some(MINUTE));
@@ -136,9 +136,9 @@
 #[test]
 fn a_suspect_expires_after_two_minutes_and_a_held_request_after_a_day() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(1), 1);
-    struck(&mut quarantine, request(2), STRIKES_TO_HOLD);
-    struck(&mut quarantine, request(3), 2);
+    add_strikes(&mut quarantine, request(1), 1);
+    add_strikes(&mut quarantine, request(2), STRIKES_TO_HOLD);
+    add_strikes(&mut quarantine, request(3), 2);
     assert_eq!(quarantine.sweep(at(10) + MINUTE * 2), [request(3)]);
     assert_eq!(quarantine.len(), 1);
     quarantine.sweep(at(10) + MINUTE * 60 * 23);
@@ -156,7 +156,7 @@
         Fingerprint::from_digest(&digest)
     };
     for number in 0..10 {
-        struck(&mut quarantine, numbered(number), STRIKES_TO_HOLD);
+        add_strikes(&mut quarantine, numbered(number), STRIKES_TO_HOLD);
     }
     for number in 10..6_000 {
         quarantine.strike(at(number), numbered(number), process(1), 0);
@@ -169,7 +169,7 @@
 #[test]
 fn varying_requests_of_one_account_do_not_evict_a_held_one_of_another() {
     let mut quarantine = Quarantine::default();
-    struck(&mut quarantine, request(255), STRIKES_TO_HOLD);
+    add_strikes(&mut quarantine, request(255), STRIKES_TO_HOLD);
     for number in 0..5_000u64 {
         let mut digest = [1; 32];
         digest[..8].copy_from_slice(&number.to_be_bytes());
@@ -191,11 +191,11 @@
         2 if event > 200 => {
             instances[one].clear(now, of);
         }
-        _ => tell(instances, now, one, (one + 1) % 3),
+        _ => send_all(instances, now, one, (one + 1) % 3),
     }
 }
 
-fn tell(instances: &mut [Quarantine; 3], now: Timestamp, from: usize, to: usize) {
+fn send_all(instances: &mut [Quarantine; 3], now: Timestamp, from: usize, to: usize) {
     let records: Vec<Suspicion> = [request(0), request(1)]
         .iter()
         .filter_map(|of| instances[from].get(*of).cloned())
@@ -213,7 +213,7 @@
         }
         let end = at(events.len() as u64);
         for _ in 0..2 {
-            (0..3).for_each(|from| (0..3).for_each(|to| tell(&mut instances, end, from, to)));
+            (0..3).for_each(|from| (0..3).for_each(|to| send_all(&mut instances, end, from, to)));
         }
         let states = [0, 1].map(|of| instances.each_ref().map(|i| i.state(request(of))));
         TestResult::from_bool(states.iter().all(|s| s[0] == s[1] && s[1] == s[2]))
--- a/crates/ringbend-gateway/tests/schedulers.rs
+++ b/crates/ringbend-gateway/tests/schedulers.rs
@@ -54,8 +54,8 @@
         let greeted: Vec<SocketAddrV4> = (0..centres).flat_map(best).collect();
         for from in fleet.addresses() {
             for to in &greeted {
-                fleet.tell(from, *to);
-                fleet.tell(*to, from);
+                fleet.send_digest(from, *to);
+                fleet.send_digest(*to, from);
             }
         }
         fleet
@@ -83,7 +83,7 @@
     }
 
     /// Sends a digest with the status of one instance to another.
-    fn tell(&mut self, from: SocketAddrV4, to: SocketAddrV4) {
+    fn send_digest(&mut self, from: SocketAddrV4, to: SocketAddrV4) {
         if from == to || !self.instances.contains_key(&to) {
             return;
         }
@@ -92,9 +92,9 @@
         let (centre, capacity) = (data_centre(*centre), *capacity);
         let instances = peers.local_instances(self.now);
         let status = PeerStatus { role: peers.role(), instances, fleet: peers.instances(self.now) };
-        let start = u64::from(u32::from(*from.ip()));
+        let incarnation = u64::from(u32::from(*from.ip()));
         let (_, _, recipient) = self.instances.get_mut(&to).unwrap();
-        recipient.record_digest(self.now, from, start);
+        recipient.record_digest(self.now, from, incarnation);
         recipient.describe(from, centre, capacity);
         recipient.set_status(from, status);
         recipient.update_role(self.now);
@@ -111,13 +111,13 @@
     }
 
     /// One heartbeat of all instances.
-    fn beat(&mut self) {
+    fn exchange_heartbeats(&mut self) {
         self.now = self.now + HEARTBEAT_INTERVAL;
         for from in self.addresses() {
             self.instances.get_mut(&from).unwrap().2.sweep(self.now);
             self.instances.get_mut(&from).unwrap().2.update_role(self.now);
             for to in self.recipients(from) {
-                self.tell(from, to);
+                self.send_digest(from, to);
             }
             for to in self.instances[&from].2.promotion_candidates(self.now) {
                 if let Some((_, _, peers)) = self.instances.get_mut(&to) {
@@ -136,7 +136,7 @@
 #[test]
 fn all_instances_of_a_small_fleet_schedule() {
     let mut fleet = Fleet::start(3, SCHEDULERS_PER_DATA_CENTRE);
-    fleet.beat();
+    fleet.exchange_heartbeats();
     assert!(fleet.instances.values().all(|(_, _, peers)| peers.schedules()));
     assert!(
         fleet.instances.values().all(|(_, _, peers)| peers.other_schedulers(fleet.now).len() == 8)
@@ -181,7 +181,7 @@
         let (_, _, peers) = fleet.instances.get_mut(&address(0, number)).unwrap();
         peers.become_scheduler();
     }
-    (0..3).for_each(|_| fleet.beat());
+    (0..3).for_each(|_| fleet.exchange_heartbeats());
     assert_eq!(fleet.schedulers(0).len(), SCHEDULERS_PER_DATA_CENTRE);
 }
 
@@ -205,9 +205,9 @@
 fn messages_per_instance_do_not_grow_with_the_fleet() {
     for each in [6, 20, 60] {
         let mut fleet = Fleet::start(5, each);
-        fleet.beat();
+        fleet.exchange_heartbeats();
         fleet.sent_count = 0;
-        fleet.beat();
+        fleet.exchange_heartbeats();
         let instances = 5 * each;
         // Three schedulers in each of five data centres, and for each instance three in its own.
         assert!(
@@ -224,12 +224,12 @@
 #[test]
 fn each_instance_knows_the_size_of_the_fleet() {
     let mut fleet = Fleet::start(5, 60);
-    (0..3).for_each(|_| fleet.beat());
+    (0..3).for_each(|_| fleet.exchange_heartbeats());
     for (address, (_, _, peers)) in &fleet.instances {
         assert_eq!(peers.instances(fleet.now), 300, "{address}");
     }
     (0..30).for_each(|number| drop(fleet.instances.remove(&address(2, number))));
-    (0..8).for_each(|_| fleet.beat());
+    (0..8).for_each(|_| fleet.exchange_heartbeats());
     for (address, (_, _, peers)) in &fleet.instances {
         assert_eq!(peers.instances(fleet.now), 270, "{address}");
     }
@@ -238,7 +238,7 @@
 #[test]
 fn instances_share_the_schedulers_of_their_data_centre() {
     let mut fleet = Fleet::start(1, 60);
-    fleet.beat();
+    fleet.exchange_heartbeats();
     let mut asked: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
     for (_, _, peers) in fleet.instances.values().filter(|(_, _, peers)| !peers.schedules()) {
         *asked.entry(peers.scheduler(fleet.now, &[]).unwrap()).or_default() += 1;
@@ -250,11 +250,11 @@
 #[test]
 fn lost_schedulers_are_replaced_by_as_many_next_best_ones() {
     let mut fleet = Fleet::start(2, 20);
-    fleet.beat();
+    fleet.exchange_heartbeats();
     fleet.instances.remove(&address(0, 19));
     fleet.instances.remove(&address(0, 18));
     let beats = PEER_TIMEOUT.as_millis() / HEARTBEAT_INTERVAL.as_millis() + 2;
-    (0..beats).for_each(|_| fleet.beat());
+    (0..beats).for_each(|_| fleet.exchange_heartbeats());
     assert_eq!(fleet.schedulers(0), [address(0, 0), address(0, 1), address(0, 17)]);
     assert_eq!(fleet.schedulers(1).len(), SCHEDULERS_PER_DATA_CENTRE);
 }
@@ -264,15 +264,15 @@
 #[test]
 fn instances_that_lost_all_their_schedulers_start_to_schedule() {
     let mut fleet = Fleet::start(2, 20);
-    fleet.beat();
+    fleet.exchange_heartbeats();
     (17..20).for_each(|number| drop(fleet.instances.remove(&address(0, number))));
     let beats = PEER_TIMEOUT.as_millis() / HEARTBEAT_INTERVAL.as_millis() + 2;
-    (0..beats).for_each(|_| fleet.beat());
+    (0..beats).for_each(|_| fleet.exchange_heartbeats());
     assert_eq!(fleet.schedulers(0).len(), 17);
     // Once they hear each other again, as after reading their rows, three suffice.
     for from in fleet.addresses() {
         for number in 0..3 {
-            fleet.tell(address(0, number), from);
+            fleet.send_digest(address(0, number), from);
         }
     }
     assert_eq!(fleet.schedulers(0), (0..3).map(|n| address(0, n)).collect::<Vec<_>>());
@@ -281,7 +281,7 @@
 #[test]
 fn an_unresponsive_scheduler_is_skipped_until_it_is_heard_again() {
     let mut fleet = Fleet::start(1, 10);
-    fleet.beat();
+    fleet.exchange_heartbeats();
     let member = address(0, 0);
     let first = fleet.instances[&member].2.scheduler(fleet.now, &[]).unwrap();
     let now = fleet.now;
@@ -294,7 +294,7 @@
     let later = now + ms(1_500);
     assert_eq!(fleet.instances[&member].2.scheduler(later, &[]), Some(second));
     fleet.now = later;
-    fleet.tell(first, member);
+    fleet.send_digest(first, member);
     assert_eq!(fleet.instances[&member].2.scheduler(later, &[]), Some(first));
 }
 
--- a/crates/ringbend-policy/src/naive.rs
+++ b/crates/ringbend-policy/src/naive.rs
@@ -101,7 +101,7 @@
         self.open.insert(id, OpenRequest { profile, attempt, endpoint, attempts: attempts + 1 });
     }
 
-    fn ended(&mut self, attempt: AttemptId, end: AttemptEnd, out: &mut Vec<Action>) {
+    fn on_attempt_end(&mut self, attempt: AttemptId, end: AttemptEnd, out: &mut Vec<Action>) {
         let Some(id) = self.attempts.remove(&attempt) else { return };
         let Some(open) = self.open.remove(&id) else { return };
         if end == AttemptEnd::Complete {
@@ -111,7 +111,7 @@
         }
     }
 
-    fn expire(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    fn fail_expired(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let expired = self.open.iter().filter(|(_, open)| open.profile.deadline <= now);
         let expired: Vec<RequestId> = expired.map(|(id, _)| *id).collect();
         for id in expired {
@@ -144,8 +144,8 @@
                 self.send(profile, 0, &mut out);
             }
             Event::Withdrawn(id) => self.withdraw(id, &mut out),
-            Event::Ended { attempt, end } => self.ended(attempt, end, &mut out),
-            Event::Tick => self.expire(now, &mut out),
+            Event::Ended { attempt, end } => self.on_attempt_end(attempt, end, &mut out),
+            Event::Tick => self.fail_expired(now, &mut out),
             _ => {}
         }
         out
