--- a/crates/ringbend-gateway/benches/decisions.rs
+++ b/crates/ringbend-gateway/benches/decisions.rs
@@ -46,7 +46,7 @@
             first_by: at(4_000 + number),
             until: at(16_000),
         };
-        scene.load.wait(work_id(2_000_000 + number), waiting);
+        scene.load.add_waiting(work_id(2_000_000 + number), waiting);
     }
     scene.load.advance(at(1));
     scene.now = at(1);
--- a/crates/ringbend-gateway/src/backoffs.rs
+++ b/crates/ringbend-gateway/src/backoffs.rs
@@ -113,7 +113,8 @@
         backoff.map_or(BackoffState::Open, |backoff| backoff.state(now))
     }
 
-    /// Records that a request is sent to an endpoint whose state permits it.
+    /// Records that a request is sent to an endpoint whose state permits it. The first one after a
+    /// delay is the probe request.
     pub fn record_sent(&mut self, now: Timestamp, endpoint: &Endpoint) {
         if let Some(backoff) = self.entries.get_mut(&endpoint.id) {
             backoff.probed_until = Some(now + PROBE_TIME);
--- a/crates/ringbend-gateway/src/load.rs
+++ b/crates/ringbend-gateway/src/load.rs
@@ -460,7 +460,7 @@
     }
 
     /// Records a long prompt that waits for its turn.
-    pub fn wait(&mut self, id: WorkId, waiting: WaitingPrompt) {
+    pub fn add_waiting(&mut self, id: WorkId, waiting: WaitingPrompt) {
         self.waiting.insert(id, waiting);
     }
 
--- a/crates/ringbend-gateway/src/outbox.rs
+++ b/crates/ringbend-gateway/src/outbox.rs
@@ -6,8 +6,8 @@
 use crate::load::WorkId;
 use crate::pace::Pace;
 
-/// Updates to be sent to other instances. The work is this instance's own, or that of instances for
-/// which it schedules.
+/// Updates to be sent to other instances. The listed work is this instance's own, or that of
+/// instances for which it schedules.
 #[derive(Debug, Clone, Default)]
 pub struct Outbox {
     /// Long prompts that have started to wait.
--- a/crates/ringbend-gateway/src/suspect_work.rs
+++ b/crates/ringbend-gateway/src/suspect_work.rs
@@ -10,8 +10,8 @@
 
 /// How long after a suspect's run on an endpoint a crash of that endpoint is still attributed to
 /// it. A crash follows its cause within 100 ms, even if the request was cancelled, and is detected
-/// and propagated within another 100 ms. Without this delay an unrelated request that arrives in
-/// between would get the strike.
+/// and propagated within another 100 ms. Otherwise an unrelated request that arrives in between
+/// would get the strike.
 const ATTRIBUTION_TIME: Duration = Duration::from_millis(250);
 
 /// A run of a suspect that has ended.
--- a/crates/ringbend-gateway/tests/deferral.rs
+++ b/crates/ringbend-gateway/tests/deferral.rs
@@ -55,7 +55,7 @@
     };
     scene.now = now;
     scene.load.advance(now);
-    scene.load.wait(work_id(PROMPT_ID), waiting);
+    scene.load.add_waiting(work_id(PROMPT_ID), waiting);
     let goal = PlacementGoal { demand, first_in: at(FIRST_BY_MS).since(now), gap: ms(1_000) };
     let queued = QueuedPrompt { id: work_id(PROMPT_ID), passed_over_for: ms(0), goal };
     decide_turn(scene.view(), &profile(), &scene.candidates(), &queued)
--- a/crates/ringbend-gateway/tests/retries.rs
+++ b/crates/ringbend-gateway/tests/retries.rs
@@ -127,8 +127,8 @@
 }
 
 /// Guards against instances that overestimate their share of the allowance. Instances that have
-/// lost each other and the store know of no other for a while, and then of a few. Each took the
-/// share of one in twelve: five times the allowance.
+/// lost each other and the store know of no other for a while, and then of a few. When each took
+/// the share of one in twelve, they used five times the allowance together.
 #[test]
 fn instances_that_do_not_know_their_number_yet_stay_within_the_budget_together() {
     const INSTANCES: usize = 79;
--- a/crates/ringbend-gateway/tests/schedulers.rs
+++ b/crates/ringbend-gateway/tests/schedulers.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// The best-ranked instances may be the last to start; until then others schedule.
+/// Other instances schedule until the best-ranked ones, which may be the last to start, do so.
 #[test]
 fn instances_that_hear_no_other_schedule_until_better_ranked_ones_do() {
     let own = |number| InstanceRank::new(SMALL, address(0, number));
@@ -173,7 +173,8 @@
     assert_eq!(late.role(), Role::Member);
 }
 
-/// Each of five schedulers would continue if it heard only the best-ranked of the others.
+/// Guards against surplus schedulers that continue: each of five would, if it heard only the
+/// best-ranked of the others.
 #[test]
 fn surplus_schedulers_hear_the_best_ranked_and_become_members() {
     let mut fleet = Fleet::start(1, 8);
--- a/crates/ringbend-gateway/tests/turns.rs
+++ b/crates/ringbend-gateway/tests/turns.rs
@@ -36,7 +36,7 @@
             first_by: at(due_ms),
             until: at(since_ms + 15_000),
         };
-        self.0.load.wait(work_id(id), waiting);
+        self.0.load.add_waiting(work_id(id), waiting);
         self
     }
 
@@ -148,7 +148,7 @@
         first_by: at(3_500),
         until: at(15_000),
     };
-    queue.0.load.wait(work_id(100), other);
+    queue.0.load.add_waiting(work_id(100), other);
     assert_eq!(queue.turn(101), Turn::Now);
 }
 
--- a/crates/ringbend-relay/src/gossip_receiver.rs
+++ b/crates/ringbend-relay/src/gossip_receiver.rs
@@ -276,7 +276,7 @@
         let mut outbox = self.outbox.borrow_mut();
         for waiting in &owners.waiting {
             match decode_waiting_work(now, waiting) {
-                Ok(prompt) => load.wait(id(waiting.sequence), prompt),
+                Ok(prompt) => load.add_waiting(id(waiting.sequence), prompt),
                 Err(e) => {
                     log::warn!(target: "peers", instance, error:% = e; "invalid waiting work in digest")
                 }
--- a/crates/ringbend-relay/src/prompt_queue.rs
+++ b/crates/ringbend-relay/src/prompt_queue.rs
@@ -88,7 +88,7 @@
             first_by: job.first_by,
             until: job.caller_timeout_at,
         };
-        self.load.borrow_mut().wait(id, waiting);
+        self.load.borrow_mut().add_waiting(id, waiting);
         self.outbox.borrow_mut().waiting.push(id);
         self.flush.immediate.notify_one();
     }
