--- a/crates/ringbend-gateway/benches/decisions.rs
+++ b/crates/ringbend-gateway/benches/decisions.rs
@@ -41,7 +41,7 @@
     for number in 0..WAITING {
         let waiting = WaitingPrompt {
             service: service("engines"),
-            read: ms(5_000),
+            read_time: ms(5_000),
             since: at(0),
             first_by: at(4_000 + number),
             until: at(16_000),
--- a/crates/ringbend-gateway/src/job.rs
+++ b/crates/ringbend-gateway/src/job.rs
@@ -37,7 +37,7 @@
     pub at_once: bool,
     /// Its priority among requests that wait for a permit, zero first: that of its client account,
     /// or of its route.
-    pub rank: u8,
+    pub priority: u8,
     /// Set if endpoints ended while they ran the request. Such a request runs on one endpoint at a
     /// time, apart from other suspects.
     pub suspect: Option<Fingerprint>,
--- a/crates/ringbend-gateway/src/permits.rs
+++ b/crates/ringbend-gateway/src/permits.rs
@@ -61,7 +61,7 @@
 /// A request that waits for a permit. Ordered by priority, then by the time at which it is late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PermitWaiter {
-    rank: u8,
+    priority: u8,
     /// The latest time at which a permit is useful to it.
     pub due: Timestamp,
     id: WorkId,
@@ -72,7 +72,11 @@
     /// disconnects.
     pub fn new(now: Timestamp, id: WorkId, job: &Job) -> Self {
         let due = job.since + job.first_by.since(job.since).mul_f64(WAIT_SHARE);
-        Self { rank: job.rank, due: if due > now { due } else { job.caller_timeout_at }, id }
+        Self {
+            priority: job.priority,
+            due: if due > now { due } else { job.caller_timeout_at },
+            id,
+        }
     }
 }
 
--- a/crates/ringbend-gateway/src/turns.rs
+++ b/crates/ringbend-gateway/src/turns.rs
@@ -79,7 +79,7 @@
 ) -> Vec<Queued<'a>> {
     let now = view.now;
     let queued = |(id, waiting): (WorkId, &'a WaitingPrompt)| {
-        let part = |n: usize| waiting.read / u32::try_from(n.max(1)).unwrap_or(u32::MAX);
+        let part = |n: usize| waiting.read_time / u32::try_from(n.max(1)).unwrap_or(u32::MAX);
         let (shared_time, solo_time) =
             (part(engines), part(engines.min(MAX_PREFILL_ENGINES)) + PASS_OVERHEAD);
         Queued { id, waiting, shared_time, solo_time }
@@ -120,8 +120,8 @@
 }
 
 /// The number of engines that should read a prompt.
-fn wanted_engines(w: &PlacementWeights, read: Duration, engines: usize) -> usize {
-    let parts = (read.as_secs_f64() * 1e3 / w.part_ms).ceil() as usize;
+fn wanted_engines(w: &PlacementWeights, read_time: Duration, engines: usize) -> usize {
+    let parts = (read_time.as_secs_f64() * 1e3 / w.part_ms).ceil() as usize;
     parts.clamp(1, engines.clamp(1, MAX_PREFILL_ENGINES))
 }
 
@@ -191,13 +191,13 @@
     let Some((_, own)) = view.load.waiting().find(|(other, _)| *other == prompt.id) else {
         return Turn::Now;
     };
-    if now + own.read / max_engines(engines) > own.until {
+    if now + own.read_time / max_engines(engines) > own.until {
         return Turn::TooLate;
     }
     let queue = send_order(view, &own.service, engines, backlog);
     let before = queue.iter().take_while(|q| q.id != prompt.id);
-    let ahead: usize = before.map(|q| wanted_engines(w, q.waiting.read, engines)).sum();
-    let own_wanted = wanted_engines(w, own.read, engines);
+    let ahead: usize = before.map(|q| wanted_engines(w, q.waiting.read_time, engines)).sum();
+    let own_wanted = wanted_engines(w, own.read_time, engines);
     let in_order = backlogs.get(own_wanted + ahead - 1);
     match backlogs.get(own_wanted - 1) {
         None => Turn::Now,
--- a/crates/ringbend-gateway/src/waiting_prompt.rs
+++ b/crates/ringbend-gateway/src/waiting_prompt.rs
@@ -10,7 +10,7 @@
     /// The service whose engines it waits for.
     pub service: ServiceName,
     /// The time in which one engine would read it.
-    pub read: Duration,
+    pub read_time: Duration,
     /// When its request arrived.
     pub since: Timestamp,
     /// When its first event is due.
--- a/crates/ringbend-gateway/tests/deferral.rs
+++ b/crates/ringbend-gateway/tests/deferral.rs
@@ -45,10 +45,10 @@
 fn turn_at(scene: &mut Scene, now: Timestamp) -> Turn {
     let demand = Demand { prompt_tokens: PROMPT_TOKENS, answer_tokens: 1_000 };
     assert!(is_long(&scene.weights, &profile(), demand));
-    let read = profile().prefill_time(PROMPT_TOKENS, 1);
+    let read_time = profile().prefill_time(PROMPT_TOKENS, 1);
     let waiting = WaitingPrompt {
         service: service("engines"),
-        read,
+        read_time,
         since: at(0),
         first_by: at(FIRST_BY_MS),
         until: at(UNTIL_MS),
--- a/crates/ringbend-gateway/tests/permits.rs
+++ b/crates/ringbend-gateway/tests/permits.rs
@@ -10,7 +10,7 @@
 use smallvec::smallvec;
 use support::{at, endpoint, ms, service, work_id};
 
-fn job(since: u64, target_latency: u64, rank: u8) -> Job {
+fn job(since: u64, target_latency: u64, priority: u8) -> Job {
     Job {
         request: "r".into(),
         service: service("engines"),
@@ -23,7 +23,7 @@
         backing_off: Vec::new(),
         tried: smallvec![],
         at_once: false,
-        rank,
+        priority,
         suspect: None,
     }
 }
--- a/crates/ringbend-gateway/tests/turns.rs
+++ b/crates/ringbend-gateway/tests/turns.rs
@@ -31,7 +31,7 @@
     fn with_waiting(mut self, id: u64, read_ms: u64, since_ms: u64, due_ms: u64) -> Self {
         let waiting = WaitingPrompt {
             service: service("engines"),
-            read: ms(read_ms),
+            read_time: ms(read_ms),
             since: at(since_ms),
             first_by: at(due_ms),
             until: at(since_ms + 15_000),
@@ -143,7 +143,7 @@
     let mut queue = Queue::new(6).with_waiting(101, 3_600, 100, 4_000);
     let other = WaitingPrompt {
         service: service("other"),
-        read: ms(3_600),
+        read_time: ms(3_600),
         since: at(0),
         first_by: at(3_500),
         until: at(15_000),
--- a/crates/ringbend-relay/src/prompt_queue.rs
+++ b/crates/ringbend-relay/src/prompt_queue.rs
@@ -80,10 +80,10 @@
 
     /// Reports to other schedulers that a long prompt is waiting.
     fn register_waiting(&self, id: WorkId, job: &Job, engine: EngineProfile, demand: Demand) {
-        let read = Duration::from_secs_f64(engine.prefill_ms(demand.prompt_tokens) / 1e3);
+        let read_time = Duration::from_secs_f64(engine.prefill_ms(demand.prompt_tokens) / 1e3);
         let waiting = WaitingPrompt {
             service: job.service.clone(),
-            read,
+            read_time,
             since: job.since,
             first_by: job.first_by,
             until: job.caller_timeout_at,
--- a/crates/ringbend-relay/src/scheduling.rs
+++ b/crates/ringbend-relay/src/scheduling.rs
@@ -98,7 +98,7 @@
             tried: self.attempts.tried().iter().cloned().collect(),
             backing_off: self.node.closed_endpoints(&self.config.service.name),
             at_once,
-            rank: self.priority(),
+            priority: self.priority(),
             suspect: self.suspect_fingerprint(),
         }
     }
--- a/crates/ringbend-wire/src/load.rs
+++ b/crates/ringbend-wire/src/load.rs
@@ -78,7 +78,7 @@
 pub fn encode_waiting_work(now: Timestamp, id: WorkId, waiting: &WaitingPrompt) -> WaitingWork {
     WaitingWork {
         sequence: id.sequence,
-        read_us: u64::try_from(waiting.read.as_micros()).unwrap_or(u64::MAX),
+        read_us: u64::try_from(waiting.read_time.as_micros()).unwrap_or(u64::MAX),
         age_ms: millis(now.since(waiting.since)),
         first_in_ms: millis(waiting.first_by.since(now)),
         left_ms: millis(waiting.until.since(now)),
@@ -97,7 +97,7 @@
 ) -> Result<WaitingPrompt, WireError> {
     Ok(WaitingPrompt {
         service: waiting.service.parse()?,
-        read: Duration::from_micros(waiting.read_us),
+        read_time: Duration::from_micros(waiting.read_us),
         since: now - Duration::from_millis(waiting.age_ms),
         first_by: now + Duration::from_millis(waiting.first_in_ms),
         until: now + Duration::from_millis(waiting.left_ms),
@@ -121,7 +121,7 @@
         at_once: job.at_once,
         owner: None,
         suspect: encode_suspect(job.suspect),
-        rank: job.rank.into(),
+        rank: job.priority.into(),
         closed: job.backing_off.iter().map(EndpointId::to_string).collect(),
     }
 }
@@ -147,7 +147,7 @@
         tried: tried.collect::<Result<_, ParseIdError>>()?,
         backing_off: closed.collect::<Result<_, ParseIdError>>()?,
         at_once: ask.at_once,
-        rank: u8::try_from(ask.rank).unwrap_or(u8::MAX),
+        priority: u8::try_from(ask.rank).unwrap_or(u8::MAX),
         suspect: decode_suspect(&ask.suspect)?,
     })
 }
