--- a/crates/ringbend-gateway/src/peers.rs
+++ b/crates/ringbend-gateway/src/peers.rs
@@ -30,7 +30,8 @@
 const MAX_PEERS: usize = 2_000;
 
 /// How long a scheduler that did not answer in time is skipped: long enough for one that lacks
-/// processor time to catch up, and short compared with the time in which others find its work.
+/// processor time to catch up, and short compared with `PEER_TIMEOUT`, after which others drop its
+/// work.
 const UNRESPONSIVE_TIME: Duration = Duration::from_secs(1);
 
 /// How long a starting instance looks for others before it schedules, unless the rows of other
