--- a/crates/ringbend-gateway/src/backoffs.rs
+++ b/crates/ringbend-gateway/src/backoffs.rs
@@ -1,7 +1,7 @@
 //! Endpoints that have asked this instance to back off.
 //!
 //! An overloaded endpoint rejects a request and names a delay. The delay binds only the instance
-//! that received the response, and it holds to its end: a later success does not shorten it. After
+//! that received the response, and applies to its end: a later success does not shorten it. After
 //! the delay one request at a time is sent until the endpoint accepts one, so that the requests
 //! that waited do not overload it again at once.
 
@@ -21,7 +21,7 @@
 /// another one.
 const PROBE_TIME: Duration = Duration::from_secs(1);
 
-/// How long after its end a delay is dropped if nothing was sent to the endpoint.
+/// How long a delay is remembered after its end if nothing is sent to the endpoint.
 const RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone)]
@@ -98,7 +98,7 @@
 
     /// Records that the endpoint accepted a request that was sent at `sent`. Returns whether this
     /// ends the backoff.
-    pub fn taken(&mut self, sent: Timestamp, endpoint: &Endpoint) -> bool {
+    pub fn record_accepted(&mut self, sent: Timestamp, endpoint: &Endpoint) -> bool {
         let backoff = self.entries.get(&endpoint.id);
         let is_over = backoff.is_some_and(|b| sent >= b.until && b.order(endpoint).is_ge());
         if is_over {
@@ -113,8 +113,9 @@
         backoff.map_or(BackoffState::Open, |backoff| backoff.state(now))
     }
 
-    /// Records that a request is sent to an endpoint whose state permits it.
-    pub fn sending(&mut self, now: Timestamp, endpoint: &Endpoint) {
+    /// Records that a request is sent to an endpoint whose state permits it. The first one after a
+    /// delay is the probe request.
+    pub fn record_sent(&mut self, now: Timestamp, endpoint: &Endpoint) {
         if let Some(backoff) = self.entries.get_mut(&endpoint.id) {
             backoff.probed_until = Some(now + PROBE_TIME);
         }
--- a/crates/ringbend-relay/src/prompt_queue.rs
+++ b/crates/ringbend-relay/src/prompt_queue.rs
@@ -80,15 +80,15 @@
 
     /// Records that a long prompt is waiting, and reports it to other schedulers.
     fn register_waiting(&self, id: WorkId, job: &Job, engine: EngineProfile, demand: Demand) {
-        let read = Duration::from_secs_f64(engine.prefill_ms(demand.prompt_tokens) / 1e3);
+        let read_time = Duration::from_secs_f64(engine.prefill_ms(demand.prompt_tokens) / 1e3);
         let waiting = WaitingPrompt {
             service: job.service.clone(),
-            read,
+            read_time,
             since: job.since,
             first_by: job.first_by,
             until: job.caller_timeout_at,
         };
-        self.load.borrow_mut().wait(id, waiting);
+        self.load.borrow_mut().add_waiting(id, waiting);
         self.outbox.borrow_mut().waiting.push(id);
         self.flush.immediate.notify_one();
     }
--- a/crates/ringbend-relay/src/signals.rs
+++ b/crates/ringbend-relay/src/signals.rs
@@ -122,7 +122,7 @@
 
     fn end_backoff(&self, endpoint: &Endpoint, sent_at: Timestamp) {
         let mut backoffs = self.backoffs.borrow_mut();
-        if backoffs.taken(sent_at, endpoint) {
+        if backoffs.record_accepted(sent_at, endpoint) {
             log::info!(target: "endpoints", endpoint:% = endpoint.id; "back-off ended");
             self.metrics.endpoint_backoffs.set(backoffs.len() as i64);
         }
