--- a/crates/ringbend-ledger/tests/claims.rs
+++ b/crates/ringbend-ledger/tests/claims.rs
@@ -186,8 +186,8 @@
     let settle =
         ClaimEvent::Settle { holder: request(1), settlement: Settlement::Done(answer("42")) };
     let actions = one.batcher.handle(one.now, 0, settle);
-    let [ClaimAction::Call(call, request_)] = &actions[..] else { panic!("{actions:?}") };
-    let reply = table.call(one.now, request_);
+    let [ClaimAction::Call(call, table_request)] = &actions[..] else { panic!("{actions:?}") };
+    let reply = table.call(one.now, table_request);
     one.batcher.handle(one.now, 0, ClaimEvent::Reply { call: *call, reply });
     assert_eq!(one.batcher.unsettled(), 1);
     table.faults = TableFaults::default();
--- a/crates/ringbend-ledger/tests/exhaustive_claims.rs
+++ b/crates/ringbend-ledger/tests/exhaustive_claims.rs
@@ -1,6 +1,6 @@
 //! Exhaustive test of two requests with the same key at two instances. All interleavings of their calls
 //! with all faults of the table are explored. At most one request may run, and one that is reported as not
-//! run must never have run. The naive router, without claims, must run both.
+//! run must never have run.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     calls: Vec<(CallId, TableRequest)>,
     granted: u32,
     abandoned: bool,
-    held: bool,
+    already_claimed: bool,
 }
 
 /// A commit that was lost in flight and may take effect later.
@@ -40,7 +40,7 @@
             calls: Vec::new(),
             granted: 0,
             abandoned: false,
-            held: false,
+            already_claimed: false,
         };
         instance.handle(ClaimEvent::Claim {
             holder: request(id),
@@ -59,7 +59,7 @@
                 // The claim stays held, as for a request whose answer has not arrived yet.
                 ClaimAction::Granted(_) => self.granted += 1,
                 ClaimAction::Abandoned(_) => self.abandoned = true,
-                ClaimAction::AlreadyClaimed(..) => self.held = true,
+                ClaimAction::AlreadyClaimed(..) => self.already_claimed = true,
             }
         }
     }
@@ -178,8 +178,8 @@
 fn an_unused_grant_is_freed() {
     let mut table = TableModel::new(TableRates::default());
     let mut instance = Instance::new(1);
-    let (call, request_) = instance.calls.remove(0);
-    let reply = table.call(Timestamp(0), &request_);
+    let (call, table_request) = instance.calls.remove(0);
+    let reply = table.call(Timestamp(0), &table_request);
     instance.handle(ClaimEvent::Reply { call, reply });
     let settlement = Settlement::NotRun;
     instance.handle(ClaimEvent::Settle { holder: request(1), settlement });
@@ -188,8 +188,8 @@
         instance.handle(ClaimEvent::Reply { call, reply });
     }
     let mut second = Instance::new(2);
-    let (call, request_) = second.calls.remove(0);
-    let reply = table.call(Timestamp(0), &request_);
+    let (call, table_request) = second.calls.remove(0);
+    let reply = table.call(Timestamp(0), &table_request);
     second.handle(ClaimEvent::Reply { call, reply });
     assert_eq!(second.granted, 1);
 }
--- a/crates/ringbend-ledger/tests/sweep.rs
+++ b/crates/ringbend-ledger/tests/sweep.rs
@@ -22,13 +22,13 @@
     Timestamp::from_millis(n * 1_000)
 }
 
-/// Sweeps every five seconds and returns when the reservation is freed. `version` is the version of the
-/// holder's presence row at a given time.
-fn freed_at(dead: bool, version: impl Fn(u64) -> Option<RowVersion>, until: u64) -> Option<u64> {
+/// Sweeps every five seconds and returns when the reservation is freed. `is_dead` states whether gossip considers the
+/// holder dead, `version` is the version of its presence row at a given time.
+fn freed_at(is_dead: bool, version: impl Fn(u64) -> Option<RowVersion>, until: u64) -> Option<u64> {
     let mut sweeper = Sweeper::new(SweepConfig::default());
     for n in (0..until).step_by(5) {
         sweeper.observe_presence(seconds(n), HOLDER, version(n));
-        sweeper.set_live(if dead { BTreeSet::new() } else { BTreeSet::from([HOLDER]) });
+        sweeper.set_live(if is_dead { BTreeSet::new() } else { BTreeSet::from([HOLDER]) });
         if !sweeper.find_orphaned(seconds(n), &engine(), &held()).is_empty() {
             return Some(n);
         }
--- a/crates/ringbend-settings/tests/exhaustive.rs
+++ b/crates/ringbend-settings/tests/exhaustive.rs
@@ -1,5 +1,5 @@
 //! Exhaustive test of two operators that change the same node. All interleavings of their calls with all
-//! faults of the store are explored. A naive committer, which reads and writes without conditions and
+//! faults of the table are explored. A naive committer, which reads and writes without conditions and
 //! retries on any error, is explored in the same way and must violate the guarantees.
 
 mod support;
